--- a/crates/gingerpier_serving/src/admission/census.rs
+++ b/crates/gingerpier_serving/src/admission/census.rs
@@ -1,10 +1,12 @@
-//! Why the engines of a service would or would not take a request.
+//! Breakdown of a service's engines by the reason that makes each unavailable for a request.
 //!
-//! A refusal says only that no engine would do. Whether none is listed, none has weights or all are full calls for
-//! different mends, so a line of a refusal and the metrics count engines by what keeps them from taking it.
+//! Refusal logs and metrics use it to distinguish causes such as unlisted engines, missing
+//! weights and overload.
 
 use {
-    super::{Demand, bound, error_when_full, least_version, predict, unseen_per_milli},
+    super::{
+        Demand, bound_millis, least_version, loaded_error_millis, predict, unreported_per_milli,
+    },
     crate::{
         engine::Engine,
         fleet::{Fleet, State},
@@ -13,43 +15,43 @@
     std::fmt,
 };
 
-/// What keeps an engine from taking a request: the first of these that holds.
+/// Availability of an engine for a request; if several reasons apply, the first of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Standing {
-    /// Another engine was listed at its address later.
+    /// A newer engine is listed at the same address.
     Replaced,
-    /// Its entry is missing for too long.
+    /// Its entry has been missing from the store for longer than the grace period.
     Lapsed,
-    /// The request may not be served in its region.
+    /// Its region is not allowed for the request.
     Abroad,
-    /// Its zone is to get no requests.
+    /// Its zone is evacuated.
     Evacuated,
-    /// It is leaving.
+    /// It is draining.
     Leaving,
-    /// The request went there already.
+    /// An earlier attempt of the request was sent to it.
     Tried,
-    /// It holds no weights of the model.
+    /// It has no weights of the model loaded.
     Empty,
-    /// Its weights are due, or are not those of the stream.
+    /// Its weights are older than required, or differ from those that began the stream.
     Outdated,
-    /// It carries out an order, or is about to get one.
+    /// It is executing an order, or one is about to be sent to it.
     Ordered,
-    /// It rests after a failure or a refusal.
+    /// It is in backoff after a failure or a refusal.
     Resting,
-    /// It is cold, and this gateway may send it nothing now.
+    /// It is cold, and this gateway may not send it a request now.
     Cold,
-    /// It is tried with one request at a time.
+    /// It is suspect and limited to one request at a time.
     OnTrial,
-    /// Word from its machine is overdue.
+    /// It would meet the bound if its status reports weren't overdue.
     Silent,
-    /// It would be too late.
+    /// Its predicted time to the first event exceeds the bound.
     Full,
-    /// Nothing.
+    /// It is available.
     Open,
 }
 
 impl Standing {
-    /// All of them.
+    /// All values, in order of precedence.
     pub const ALL: [Self; 15] = [
         Self::Replaced,
         Self::Lapsed,
@@ -68,7 +70,7 @@
         Self::Open,
     ];
 
-    /// Word for it in logs and metrics.
+    /// Label in logs and metrics.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Replaced => "replaced",
@@ -90,50 +92,55 @@
     }
 }
 
-/// Engines of a service by what keeps them from taking a request.
+/// Number of engines of a service for each availability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Census([u32; Standing::ALL.len()]);
 
 impl Census {
-    /// Engines that stand so.
+    /// Number of engines with this availability.
     pub const fn count(&self, standing: Standing) -> u32 {
         self.0[standing as usize]
     }
 }
 
-/// Counts above zero, as in `empty:44,full:1`; `none` where no engine is listed.
+/// Writes the non-zero counts, such as `empty:44,full:1`, or `none` if no engine is listed.
 impl fmt::Display for Census {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut comma = "";
+        let mut separator = "";
         for standing in Standing::ALL {
             let count = self.count(standing);
             if count > 0 {
-                write!(out, "{comma}{}:{count}", standing.word())?;
-                comma = ",";
+                write!(out, "{separator}{}:{count}", standing.word())?;
+                separator = ",";
             }
         }
-        match comma {
+        match separator {
             "" => out.write_str("none"),
             _ => Ok(()),
         }
     }
 }
 
-/// Counts the listed engines of the service by what keeps them from taking the request.
+/// Counts the listed engines of the requested service by their availability.
 pub fn census(fleet: &Fleet, demand: &Demand<'_>, now: Instant) -> Census {
     let mut census = Census::default();
-    let unseen_per_milli = unseen_per_milli(fleet, demand, now);
+    let unreported_per_milli = unreported_per_milli(fleet, demand, now);
     for (key, engine) in fleet.of_service(demand.service) {
         let standing = match demand.tried.contains(&key) {
             true => Standing::Tried,
-            false => standing(engine, demand, unseen_per_milli, now),
+            false => standing(engine, demand, unreported_per_milli, now),
         };
         census.0[standing as usize] += 1;
     }
     census
 }
 
-fn standing(engine: &Engine, demand: &Demand<'_>, unseen_per_milli: f64, now: Instant) -> Standing {
+fn standing(
+    engine: &Engine,
+    demand: &Demand<'_>,
+    unreported_per_milli: f64,
+    now: Instant,
+) -> Standing {
     if engine.is_replaced {
         return Standing::Replaced;
     }
@@ -161,9 +168,9 @@
     if engine.is_on_trial(now) {
         return Standing::OnTrial;
     }
-    let predicted = predict(engine, demand, unseen_per_milli, now);
-    let expected = predicted.sum() + error_when_full(engine, now);
-    let bound = bound(demand, &predicted);
+    let predicted = predict(engine, demand, unreported_per_milli, now);
+    let expected = predicted.sum() + loaded_error_millis(engine, now);
+    let bound = bound_millis(demand, &predicted);
     if expected > bound {
         return Standing::Full;
     }
@@ -173,14 +180,16 @@
     }
 }
 
-/// What of its weights keeps an engine from taking the request.
+/// Returns the reason if the engine's weights make it unavailable.
 fn weights_standing(engine: &Engine, demand: &Demand<'_>, now: Instant) -> Option<Standing> {
     let model = demand.model.filter(|_| demand.engines.is_some())?;
     let Some(version) = engine.version_of(model, now) else {
         return Some(Standing::Empty);
     };
-    let is_other = demand.goes_on_with.is_some_and(|wanted| wanted != version);
-    if is_other || version < least_version(demand.due, now) {
+    let is_wrong_version = demand
+        .goes_on_with
+        .is_some_and(|stream_version| stream_version != version);
+    if is_wrong_version || version < least_version(demand.due, now) {
         return Some(Standing::Outdated);
     }
     engine.latest(now).is_busy.then_some(Standing::Ordered)
--- a/crates/gingerpier_serving/src/backlog.rs
+++ b/crates/gingerpier_serving/src/backlog.rs
@@ -1,55 +1,53 @@
-//! Prompts that an engine has admitted and not yet read.
+//! Estimate of the prompt tokens that an engine has admitted but not yet processed.
 //!
-//! An engine's report counts a request as active from its admission, whether its prompt was read
-//! or not. What tells them apart is memory: it is taken for the whole prompt at once, while
-//! answers add a few tokens a pass. So what memory grows by beyond that is prompts, and they are
-//! read at a speed that the engine's figures give.
+//! A status report counts a request as active from its admission, before its prompt is processed.
+//! Memory is allocated for a whole prompt at once, whereas generated answers grow by a few tokens
+//! per pass. Growth beyond the answers' rate is therefore attributed to new prompts.
 
 use {
     crate::{configuration::EngineModel, prediction, report::Report},
     gingerpier_base::Instant,
 };
 
-/// Share of the most tokens that running requests could add which counts as added: while prompts
-/// are read, few are.
-const GROWTH_SHARE: f64 = 0.5;
+/// Fraction of the highest possible answer growth that is assumed between two reports.
+const ANSWER_GROWTH_SHARE: f64 = 0.5;
 
-/// Estimate of the prompt tokens that wait at an engine.
+/// Running estimate of the unprocessed prompt tokens of one engine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Backlog {
-    unread: f64,
-    held: u64,
+    unprocessed_tokens: f64,
+    last_memory_used: u64,
     active: u32,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl Backlog {
-    /// Takes the engine's next report; gives the tokens that are yet to be read.
+    /// Updates the estimate from the engine's next report and returns it, in tokens.
     pub fn note(&mut self, report: &Report, model: &EngineModel, now: Instant) -> u64 {
-        let passed = now.millis_since(self.at) as f64;
+        let elapsed_millis = now.millis_since(self.updated_at) as f64;
         let running = f64::from(self.active);
-        let read = passed * read_per_milli(model, running);
-        let passes = passed / prediction::pass_millis(model, running).max(1.0);
-        let written = GROWTH_SHARE * running * f64::from(model.stride) * passes;
-        let grown = report.memory_used.saturating_sub(self.held) as f64;
-        let admitted = (grown - written).max(0.0);
-        self.unread = (self.unread - read).max(0.0) + admitted;
-        // What is unread lies in memory, too.
-        self.unread = self.unread.min(report.memory_used as f64);
-        self.held = report.memory_used;
+        let processed = elapsed_millis * read_per_milli(model, running);
+        let passes = elapsed_millis / prediction::pass_millis(model, running).max(1.0);
+        let generated = ANSWER_GROWTH_SHARE * running * f64::from(model.stride) * passes;
+        let growth = report.memory_used.saturating_sub(self.last_memory_used) as f64;
+        let admitted = (growth - generated).max(0.0);
+        self.unprocessed_tokens = (self.unprocessed_tokens - processed).max(0.0) + admitted;
+        // Unprocessed prompt tokens are part of the used memory.
+        self.unprocessed_tokens = self.unprocessed_tokens.min(report.memory_used as f64);
+        self.last_memory_used = report.memory_used;
         self.active = report.active;
-        self.at = now;
-        self.unread as u64
+        self.updated_at = now;
+        self.unprocessed_tokens as u64
     }
 }
 
-/// Prompt tokens that an engine with `running` requests reads in a millisecond: between the steps
-/// of those that run, a part of the prompts at a time.
+/// Returns the prompt tokens per millisecond that an engine with `running` requests processes.
+/// Prompt chunks alternate with passes of the running requests.
 pub fn read_per_milli(model: &EngineModel, running: f64) -> f64 {
-    let Some(chunk) = model.read_at_once else {
+    let Some(chunk_tokens) = model.read_at_once else {
         return model.read_per_milli;
     };
-    let chunk = f64::from(chunk.max(1));
-    let steps = prediction::pass_millis(model, running) * running.min(1.0);
-    chunk / (chunk / model.read_per_milli + steps)
+    let chunk_tokens = f64::from(chunk_tokens.max(1));
+    let interleaved_millis = prediction::pass_millis(model, running) * running.min(1.0);
+    chunk_tokens / (chunk_tokens / model.read_per_milli + interleaved_millis)
 }
--- a/crates/gingerpier_serving/src/budget.rs
+++ b/crates/gingerpier_serving/src/budget.rs
@@ -1,72 +1,72 @@
-//! A retry budget shared by all gateways without a word between them.
+//! Retry budget shared by all gateways without communication.
 //!
-//! The operators bound the retries of all gateways together by a ratio of requests and a fixed
-//! extra. Each gateway keeps to the ratio of its own requests and to its part of the extra; the
-//! parts are counted from the most gateways seen, so that the sum stays below the bound.
+//! Operators limit the retries of all gateways to a ratio of the requests plus a fixed allowance.
+//! Each gateway applies the ratio to its own requests and divides the allowance by the highest
+//! number of gateways seen, so that the sum stays within the limit.
 
 use {gingerpier_base::Instant, std::collections::VecDeque};
 
-/// Part of the bound that is used; the rest covers what gateways count differently.
-const CAUTION: f64 = 0.5;
+/// Fraction of the ratio that is used, as gateways count windows and requests differently.
+const SAFETY_FACTOR: f64 = 0.5;
 
-/// Bound on retries.
+/// Retry limits of all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries of all gateways beyond the ratio, in one window.
+    /// Retries per window in addition to the ratio.
     pub extra: u32,
-    /// Length of a window, in milliseconds.
+    /// Length of the sliding window.
     pub window_millis: u64,
-    /// Gateways that share the extra; at least 1.
+    /// Gateways that share the additional retries; at least 1.
     pub members: u32,
 }
 
-/// Retries left to one gateway.
+/// Retry budget of one gateway.
 #[derive(Debug, Clone)]
 pub struct Budget {
     terms: Terms,
-    requests: VecDeque<Instant>,
-    retries: VecDeque<Instant>,
+    request_times: VecDeque<Instant>,
+    retry_times: VecDeque<Instant>,
 }
 
 impl Budget {
-    /// Budget under `terms`.
+    /// Creates an unused budget.
     pub const fn new(terms: Terms) -> Self {
         Self {
             terms,
-            requests: VecDeque::new(),
-            retries: VecDeque::new(),
+            request_times: VecDeque::new(),
+            retry_times: VecDeque::new(),
         }
     }
 
-    /// Notes how many gateways there are; the most ever seen counts.
+    /// Records the current number of gateways; only a new maximum has an effect.
     pub fn note_members(&mut self, members: u32) {
         self.terms.members = self.terms.members.max(members);
     }
 
-    /// Notes a request that was sent for the first time.
+    /// Records the first attempt of a request.
     pub fn note_request(&mut self, now: Instant) {
         self.expire(now);
-        self.requests.push_back(now);
+        self.request_times.push_back(now);
     }
 
-    /// Takes one retry; false where none is left.
+    /// Consumes one retry; returns false if none is left.
     pub fn take(&mut self, now: Instant) -> bool {
         self.expire(now);
-        let earned = self.terms.ratio * CAUTION * self.requests.len() as f64;
-        let share = f64::from(self.terms.extra) / f64::from(self.terms.members.max(1));
-        let allowed = earned + share.floor();
-        if self.retries.len() as f64 + 1.0 > allowed {
+        let earned = self.terms.ratio * SAFETY_FACTOR * self.request_times.len() as f64;
+        let extra_share = f64::from(self.terms.extra) / f64::from(self.terms.members.max(1));
+        let limit = earned + extra_share.floor();
+        if self.retry_times.len() as f64 + 1.0 > limit {
             return false;
         }
-        self.retries.push_back(now);
+        self.retry_times.push_back(now);
         true
     }
 
     fn expire(&mut self, now: Instant) {
         let window = self.terms.window_millis;
-        for times in [&mut self.requests, &mut self.retries] {
+        for times in [&mut self.request_times, &mut self.retry_times] {
             while times
                 .front()
                 .is_some_and(|time| now.millis_since(*time) > window)
--- a/crates/gingerpier_serving/src/configuration.rs
+++ b/crates/gingerpier_serving/src/configuration.rs
@@ -1,4 +1,5 @@
-//! What the operators want: routes, services, tenants and limits, indexed for requests.
+//! Operator configuration of routes, services, client accounts and limits, indexed for request
+//! routing.
 
 use {
     crate::region::{Homes, Regions},
@@ -14,163 +15,163 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ServiceKey(pub u32);
 
-/// Key of a tenant within its configuration.
+/// Key of a client account within its configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TenantKey(pub u32);
 
-/// How often a request may run.
+/// How often a request may run, and whether its response is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// As often as needed.
+    /// Idempotent: any number of times.
     Safe,
     /// At most once.
     Once,
-    /// A stream that another engine may go on with.
+    /// Stream that another engine can resume.
     ResumableStream,
-    /// A stream that runs at most once.
+    /// Stream that runs at most once.
     StreamOnce,
 }
 
 impl Repeat {
-    /// True where a second run does no harm.
+    /// True if running twice is harmless.
     pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Safe | Self::ResumableStream)
     }
 
-    /// True for streams of events.
+    /// True if the response is an event stream.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::StreamOnce)
     }
 }
 
-/// A service that takes part of a route's requests.
+/// Service that receives a part of a route's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Target {
-    /// Service.
+    /// Key of the service.
     pub service: ServiceKey,
-    /// Share of the requests, against the other targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// A route.
+/// Route from a host and path prefix to services.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name.
+    /// Route name.
     pub name: String,
-    /// Host that the request names.
+    /// Value of the `Host` header.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// How often a request may run.
     pub repeat: Repeat,
-    /// Longest that a request is held, in milliseconds.
+    /// Limit of the total request time.
     pub timeout_millis: u64,
-    /// Time within which an answer has its full worth, in milliseconds.
+    /// Target of the response time.
     pub target_millis: u64,
-    /// Longest pause between events of a stream with which it keeps its worth, in milliseconds.
+    /// Target of the longest pause between two events of a stream.
     pub pause_millis: u64,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services.
+    /// Weighted services.
     pub targets: Vec<Target>,
-    /// Most engines that one request may go to.
+    /// Limit of the attempts per request.
     pub max_attempts: u32,
-    /// True where no key is needed.
+    /// True if no API key is required.
     pub is_public: bool,
-    /// Regions in which alone its requests may be served; any where it names none.
+    /// Regions in which requests may run; empty for no restriction.
     pub regions: Vec<String>,
 }
 
-/// What a service is.
+/// Kind of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ServiceKind {
-    /// An ordinary service.
+    /// Ordinary service.
     Plain,
-    /// Model engines.
+    /// Engines of language models.
     Engines(Box<EngineModel>),
-    /// Origin of weights.
+    /// Origin server of weights.
     Origin(Origin),
 }
 
-/// Where weights come from.
+/// Origin server that weights are fetched from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Origin {
-    /// Address.
+    /// Server address.
     pub address: SocketAddr,
-    /// Bits a second that its link carries; 0 where that is not known.
+    /// Bandwidth of its link; 0 if unknown.
     pub link_bits_per_second: u64,
-    /// Connections that it takes from all loaders.
+    /// Limit of the connections of all loaders together.
     pub max_connections: u32,
 }
 
-/// A service.
+/// Service that requests are sent to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Service name.
     pub name: String,
-    /// Most connections of one engine.
+    /// Limit of the connections to one engine.
     pub max_connections: u32,
-    /// Requests a second that one of its engines bears while it is cold; 0 where they never are.
+    /// Sustained requests per second of a cold engine; 0 if engines are never cold.
     pub cold_per_second: f64,
-    /// What it is.
+    /// Kind of the service.
     pub kind: ServiceKind,
 }
 
-/// How engines of a service work.
+/// Performance model of a service's engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineModel {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Token steps of one pass.
+    /// Token steps per pass.
     pub stride: u32,
-    /// Milliseconds of one token step.
+    /// Base duration of a token step.
     pub step_millis: f64,
-    /// Milliseconds that each running request adds to a step.
+    /// Additional duration of a step per running request.
     pub per_request_millis: f64,
-    /// Milliseconds that 1,000 tokens of context add to a step.
+    /// Additional duration of a step per 1,000 context tokens of each running request.
     pub per_thousand_tokens_millis: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens that are processed per millisecond.
     pub read_per_milli: f64,
-    /// Most prompt tokens that one pass reads; none where that is not known.
+    /// Limit of the prompt tokens that are processed per pass; `None` if unknown.
     pub read_at_once: Option<u32>,
-    /// Mean tokens of a prompt.
+    /// Mean prompt length in tokens.
     pub usual_prompt: u32,
-    /// Mean tokens of an answer.
+    /// Mean response length in tokens.
     pub usual_answer: u32,
-    /// Tokens that the memory of an engine holds.
+    /// Memory capacity of an engine in tokens.
     pub memory_tokens: u64,
-    /// Models.
+    /// Names of the models.
     pub models: Vec<String>,
 }
 
-/// A tenant.
+/// Client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Name.
+    /// Account name.
     pub name: String,
-    /// Rank of its requests, where it has one.
+    /// Priority of its requests; `None` to use the route's.
     pub priority: Option<u8>,
-    /// Keys that its callers may carry.
+    /// API keys.
     pub keys: Vec<String>,
-    /// Regions in which alone its requests may be served; any where it names none.
+    /// Regions in which its requests may run; empty for no restriction.
     pub regions: Vec<String>,
 }
 
-/// Bounds on callers.
+/// Limits for client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Largest request head.
     pub max_head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Largest request body.
     pub max_body_bytes: usize,
-    /// Longest time for a head, in milliseconds.
+    /// Longest time in which a request head is received.
     pub head_timeout_millis: u64,
-    /// Longest rest of a connection, in milliseconds.
+    /// Longest idle time of a connection.
     pub idle_timeout_millis: u64,
 }
 
 impl Default for Limits {
-    /// 16 KiB of head within 3 s, 4 MiB of body, 15 s of rest.
+    /// 16 KiB heads within 3 s, 4 MiB bodies, 15 s idle time.
     fn default() -> Self {
         Self {
             max_head_bytes: 16 * 1024,
@@ -181,48 +182,48 @@
     }
 }
 
-/// The part of a configuration that says what stands behind routes: all that loaders need of it.
+/// Services of a configuration, without its routes and accounts; all that weight loaders need.
 #[derive(Debug, Clone, Default)]
 pub struct Services {
     /// Version of the configuration.
     pub version: u64,
     list: Vec<Service>,
-    /// Digest as it was told; none where it is to be counted here.
-    told_digest: Option<u64>,
+    /// Digest from the process that sent the services; `None` to compute it.
+    received_digest: Option<u64>,
 }
 
 impl Services {
-    /// Services of a configuration.
+    /// Creates the services of a local configuration.
     pub const fn new(version: u64, list: Vec<Service>) -> Self {
         Self {
             version,
             list,
-            told_digest: None,
+            received_digest: None,
         }
     }
 
-    /// Services that another process told of, with the digest as that one counts it.
+    /// Creates the services received from another process, with the digest that it computed.
     pub const fn told(version: u64, list: Vec<Service>, weights_digest: u64) -> Self {
         Self {
             version,
             list,
-            told_digest: Some(weights_digest),
+            received_digest: Some(weights_digest),
         }
     }
 
-    /// Services, in the order of their keys.
+    /// Services in the order of their keys.
     pub fn list(&self) -> &[Service] {
         &self.list
     }
 
-    /// What loaders need: engines' services and the origin, without ordinary services.
+    /// Copy for loaders: only the origin and the services with engines.
     pub fn for_loaders(&self) -> Self {
-        let is_needed = |service: &&Service| !matches!(service.kind, ServiceKind::Plain);
-        let needed = self.list.iter().filter(is_needed).cloned();
-        Self::told(self.version, needed.collect(), self.weights_digest())
+        let is_for_loaders = |service: &&Service| !matches!(service.kind, ServiceKind::Plain);
+        let selected = self.list.iter().filter(is_for_loaders).cloned();
+        Self::told(self.version, selected.collect(), self.weights_digest())
     }
 
-    /// Engines' services.
+    /// Services with engines and their performance models.
     pub fn engines(&self) -> impl Iterator<Item = (&Service, &EngineModel)> {
         self.list.iter().filter_map(|service| match &service.kind {
             ServiceKind::Engines(engines) => Some((service, &**engines)),
@@ -230,7 +231,7 @@
         })
     }
 
-    /// Where weights come from, if anywhere.
+    /// Origin server of weights, if configured.
     pub fn origin(&self) -> Option<Origin> {
         self.list.iter().find_map(|service| match service.kind {
             ServiceKind::Origin(origin) => Some(origin),
@@ -238,32 +239,32 @@
         })
     }
 
-    /// Digest of what loaders of weights need to know: engines' services and the origin.
+    /// Digest of the settings that affect weight loaders.
     pub fn weights_digest(&self) -> u64 {
-        if let Some(told) = self.told_digest {
-            return told;
+        if let Some(received) = self.received_digest {
+            return received;
         }
         let engines = self.engines();
-        let known: Vec<_> = engines
+        let engine_models: Vec<_> = engines
             .map(|(service, engines)| (&service.name, &engines.models))
             .collect();
         let origin = self.origin();
         let link = origin.map(|origin| (origin.link_bits_per_second, origin.max_connections));
-        order::hash(&(known, origin.map(|origin| origin.address), link))
+        order::hash(&(engine_models, origin.map(|origin| origin.address), link))
     }
 }
 
-/// A whole configuration.
+/// Complete configuration.
 #[derive(Debug, Clone, Default)]
 pub struct Configuration {
-    /// Its version.
+    /// Configuration version.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits for client connections.
     pub limits: Limits,
     routes: Vec<Route>,
     services: Services,
     tenants: Vec<Tenant>,
-    /// Homes of routes and of tenants, by their keys.
+    /// Resolved regions of routes and accounts, by key.
     route_homes: Vec<Homes>,
     tenant_homes: Vec<Homes>,
     by_host: HashMap<String, Vec<RouteKey>>,
@@ -271,7 +272,7 @@
 }
 
 impl Configuration {
-    /// Configuration of these parts, indexed.
+    /// Creates a configuration and its indexes.
     pub fn new(
         version: u64,
         limits: Limits,
@@ -297,8 +298,8 @@
                 by_key.insert(key.clone(), TenantKey(index as u32));
             }
         }
-        // Until the regions are known, what is bound to any is served nowhere.
-        let unknown = Regions::default();
+        // Until the regions are resolved, restricted routes and accounts match no region.
+        let no_regions = Regions::default();
         let mut configuration = Self {
             version,
             limits,
@@ -310,11 +311,11 @@
             by_host,
             by_key,
         };
-        configuration.locate(&unknown);
+        configuration.locate(&no_regions);
         configuration
     }
 
-    /// Resolves the names of regions to which routes and tenants are bound.
+    /// Resolves the region names of routes and accounts.
     pub fn locate(&mut self, regions: &Regions) {
         let routes = self.routes.iter();
         self.route_homes = routes.map(|route| regions.homes(&route.regions)).collect();
@@ -324,15 +325,15 @@
             .collect();
     }
 
-    /// Regions in which a request of `route` and `tenant` may be served: those that both allow.
+    /// Regions that both the route and the account allow.
     pub fn homes(&self, route: RouteKey, tenant: Option<TenantKey>) -> Homes {
-        let of_route = self.route_homes[route.0 as usize];
-        tenant.map_or(of_route, |tenant| {
-            of_route.and(self.tenant_homes[tenant.0 as usize])
+        let route_regions = self.route_homes[route.0 as usize];
+        tenant.map_or(route_regions, |tenant| {
+            route_regions.and(self.tenant_homes[tenant.0 as usize])
         })
     }
 
-    /// What is bound to regions, by its name, with the names of these.
+    /// Names of all routes and accounts with their allowed regions.
     pub fn bound(&self) -> impl Iterator<Item = (&str, &[String])> {
         let routes = self.routes.iter();
         let routes = routes.map(|route| (route.name.as_str(), route.regions.as_slice()));
@@ -341,7 +342,7 @@
         routes.chain(tenants)
     }
 
-    /// Route with the longest prefix of `path` at `host`; a port in `host` does not count.
+    /// Finds the route with the longest matching prefix at `host`, ignoring the port.
     pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
         let host = host.split(':').next().unwrap_or_default();
         let keys = match self.by_host.get(host) {
@@ -353,65 +354,65 @@
             .find(|key| path.starts_with(&self.route(*key).prefix))
     }
 
-    /// A route.
+    /// Route with this key.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.routes[key.0 as usize]
     }
 
-    /// A service.
+    /// Service with this key.
     pub fn service(&self, key: ServiceKey) -> &Service {
         &self.services.list[key.0 as usize]
     }
 
-    /// Services, in the order of their keys.
+    /// Services in the order of their keys.
     pub fn services(&self) -> &[Service] {
         self.services.list()
     }
 
-    /// The services as a part of their own.
+    /// Services without routes and accounts.
     pub const fn services_part(&self) -> &Services {
         &self.services
     }
 
-    /// Where weights come from, if anywhere.
+    /// Origin server of weights, if configured.
     pub fn origin(&self) -> Option<Origin> {
         self.services.origin()
     }
 
-    /// Digest of what loaders of weights need to know.
+    /// Digest of the settings that affect weight loaders.
     pub fn weights_digest(&self) -> u64 {
         self.services.weights_digest()
     }
 
-    /// True where requests need a key.
+    /// True if requests to non-public routes require an API key.
     pub fn needs_keys(&self) -> bool {
         !self.tenants.is_empty()
     }
 
-    /// Tenant that holds `key`.
+    /// Account of an API key.
     pub fn tenant_of(&self, key: &str) -> Option<TenantKey> {
         self.by_key.get(key).copied()
     }
 
-    /// A tenant.
+    /// Account with this key.
     pub fn tenant(&self, key: TenantKey) -> &Tenant {
         &self.tenants[key.0 as usize]
     }
 
-    /// Service that takes a request whose draw is `draw`, any number.
+    /// Selects a service by weight; `draw` is a random number.
     pub fn draw(&self, route: RouteKey, draw: u64) -> Option<ServiceKey> {
         let targets = &self.route(route).targets;
         let total: u64 = targets.iter().map(|target| u64::from(target.weight)).sum();
         if total == 0 {
             return targets.first().map(|target| target.service);
         }
-        let mut left = draw % total;
+        let mut remaining = draw % total;
         for target in targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(target.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
--- a/crates/gingerpier_serving/src/course.rs
+++ b/crates/gingerpier_serving/src/course.rs
@@ -1,51 +1,51 @@
-//! What follows an attempt that brought no whole answer.
+//! Decision after a failed attempt of a request.
 
 use {crate::configuration::Repeat, gingerpier_base::Instant};
 
-/// What is known of a failed attempt.
+/// Type of a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The engine proved that it did not run the request, or no byte of it was sent.
+    /// The engine confirmed that it didn't run the request, or no byte was sent.
     NotRun,
     /// The request may have run.
     Unknown,
 }
 
-/// What to do next.
+/// Next action for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
     /// Send it to another engine.
     TryAnother,
-    /// Tell the caller that it has not run and never will.
+    /// Respond that the request hasn't run and never will.
     Refuse,
-    /// Tell the caller that it may have run.
+    /// Respond that the request may have run.
     Fail,
-    /// Tell the caller that time is up.
+    /// Respond that the deadline has passed.
     TimeOut,
 }
 
-/// How a request stands.
+/// Retry state of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Standing {
-    /// How often it may run.
+    /// Whether it may run more than once.
     pub repeat: Repeat,
-    /// Engines that it went to.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Most engines that it may go to.
+    /// Limit of the attempts.
     pub max_attempts: u32,
-    /// True once an attempt may have run it.
+    /// True if any attempt may have run.
     pub may_have_run: bool,
-    /// When its caller stops waiting or the operators' time is up.
+    /// Earlier one of the caller's deadline and the route's timeout.
     pub deadline: Instant,
 }
 
-/// Least time that another attempt is worth, in milliseconds.
-const LEAST_MILLIS: u64 = 20;
+/// Remaining time below which no further attempt is made.
+const MIN_REMAINING_MILLIS: u64 = 20;
 
 impl Standing {
-    /// Notes a failure and decides; `pay` takes one retry from the budget and is only called
-    /// where everything else allows another attempt.
-    pub fn after<F>(&mut self, failure: Failure, now: Instant, pay: F) -> Next
+    /// Records a failed attempt and returns the next action. `take_retry` takes a retry from the budget;
+    /// it is only called if everything else permits a retry.
+    pub fn after<F>(&mut self, failure: Failure, now: Instant, take_retry: F) -> Next
     where
         F: FnOnce() -> bool,
     {
@@ -53,15 +53,15 @@
         if self.deadline.has_passed(now) {
             return self.timed_out();
         }
-        let allowed = !self.may_have_run || self.repeat.is_idempotent();
-        let in_time = self.deadline.millis_since(now) >= LEAST_MILLIS;
-        if allowed && in_time && self.attempts < self.max_attempts && pay() {
+        let may_run_again = !self.may_have_run || self.repeat.is_idempotent();
+        let has_time = self.deadline.millis_since(now) >= MIN_REMAINING_MILLIS;
+        if may_run_again && has_time && self.attempts < self.max_attempts && take_retry() {
             return Next::TryAnother;
         }
         self.give_up()
     }
 
-    /// Final answer where no further engine can be asked.
+    /// Returns the final action if no other engine is available.
     pub const fn give_up(&self) -> Next {
         if self.may_have_run {
             Next::Fail
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Final answer once the deadline has passed.
+    /// Returns the final action after the deadline.
     pub const fn timed_out(&self) -> Next {
         if self.may_have_run {
             Next::TimeOut
--- a/crates/gingerpier_serving/src/evenness.rs
+++ b/crates/gingerpier_serving/src/evenness.rs
@@ -1,9 +1,9 @@
-//! Who is taken where places are short: nobody is left out for the time that its own prompt takes.
+//! Fairness between requests with different slack under overload.
 //!
-//! A request is taken where its first event is predicted in time. One with a small prompt or a wide target can wait longer
-//! behind others than one with a large prompt or a narrow target. Under lasting load the former fill each engine up to what
-//! they can wait, so that the latter never find one. So the shorter places are, the more everybody may wait equally
-//! long, whatever else it needs: a little less than most could, so that nearly all that are taken are in time.
+//! Slack is the time that a request may queue and still meet its target. Requests with small
+//! prompts or long targets have more slack and would fill every engine up to their own bound, so
+//! that requests with little slack are always refused. As the refusal rate rises, all requests
+//! are therefore moved toward one common slack.
 //!
 //! ```
 //! use {gingerpier_base::Instant, gingerpier_serving::evenness::Waits};
@@ -18,58 +18,59 @@
 
 use gingerpier_base::Instant;
 
-/// Milliseconds over which requests count: many at a gateway with few requests a second, and short against the time in
-/// which what is asked for changes.
-const COUNTED_MILLIS: f64 = 4_000.0;
+/// Time constant of the exponential averages.
+const AVERAGING_MILLIS: f64 = 4_000.0;
 
-/// Requests before which nothing is told.
-const LEAST_COUNT: f64 = 5.0;
+/// Weighted number of requests below which no common slack is estimated.
+const MIN_COUNT: f64 = 5.0;
 
-/// Standard deviations under the mean at which the common wait lies: all but a few in a hundred could wait that long.
-const SPREADS_BELOW: f64 = 2.0;
+/// Distance of the common slack below the mean, in standard deviations.
+const DEVIATIONS_BELOW_MEAN: f64 = 2.0;
 
-/// Least part of the mean that the common wait is: a few huge requests must not keep engines from being filled by the others.
-const LEAST_PART: f64 = 0.5;
+/// Lower bound of the common slack, as a fraction of the mean: a few huge requests must not lower
+/// it for all.
+const MIN_SHARE_OF_MEAN: f64 = 0.5;
 
-/// How far requests are treated alike.
+/// Adjustment of the admission bound toward a common slack.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Even {
-    /// From 0, everybody by its own time alone, to 1, everybody by the common wait.
+    /// Weight of the common slack: 0 uses only the request's own slack, 1 only the common one.
     pub share: f64,
-    /// Milliseconds that everybody may wait behind others.
+    /// Common slack.
     pub wait_millis: f64,
 }
 
 impl Even {
-    /// Milliseconds by which a request that could wait `millis` may wait longer; below zero where it may wait less.
-    pub fn more_millis(&self, millis: f64) -> f64 {
-        self.share * (self.wait_millis - millis)
+    /// Returns the change of the bound for a request with `slack_millis` of slack; negative if it has
+    /// more than the common slack.
+    pub fn more_millis(&self, slack_millis: f64) -> f64 {
+        self.share * (self.wait_millis - slack_millis)
     }
 }
 
-/// How long the requests that come could wait behind others.
+/// Distribution of the slack of recent requests.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Waits {
-    at: Instant,
+    updated_at: Instant,
     count: f64,
     mean: f64,
     mean_of_squares: f64,
 }
 
 impl Waits {
-    /// Notes a request that could wait `millis`.
-    pub fn note(&mut self, millis: f64, now: Instant) {
-        let left = (-(now.millis_since(self.at) as f64) / COUNTED_MILLIS).exp();
-        self.at = now;
-        self.count = self.count * left + 1.0;
-        self.mean += (millis - self.mean) / self.count;
-        self.mean_of_squares += (millis * millis - self.mean_of_squares) / self.count;
+    /// Records a request with `slack_millis` of slack.
+    pub fn note(&mut self, slack_millis: f64, now: Instant) {
+        let decay = (-(now.millis_since(self.updated_at) as f64) / AVERAGING_MILLIS).exp();
+        self.updated_at = now;
+        self.count = self.count * decay + 1.0;
+        self.mean += (slack_millis - self.mean) / self.count;
+        self.mean_of_squares += (slack_millis * slack_millis - self.mean_of_squares) / self.count;
     }
 
-    /// Milliseconds that nearly all could wait; none where too few came.
+    /// Returns the slack that nearly all recent requests have; `None` after too few requests.
     pub fn common_millis(&self) -> Option<f64> {
         let variance = (self.mean_of_squares - self.mean * self.mean).max(0.0);
-        let low = self.mean - SPREADS_BELOW * variance.sqrt();
-        (self.count >= LEAST_COUNT).then_some(low.max(LEAST_PART * self.mean))
+        let lower_bound = self.mean - DEVIATIONS_BELOW_MEAN * variance.sqrt();
+        (self.count >= MIN_COUNT).then_some(lower_bound.max(MIN_SHARE_OF_MEAN * self.mean))
     }
 }
--- a/crates/gingerpier_serving/src/events.rs
+++ b/crates/gingerpier_serving/src/events.rs
@@ -1,11 +1,11 @@
-//! Whole events of a stream.
+//! Splitting of an event stream at event boundaries.
 //!
-//! An engine may stop inside an event. Only whole events go to the caller, so that another
-//! engine can go on behind the last one.
+//! An engine may stop in the middle of an event. Only whole events are forwarded, so that another
+//! engine can resume after the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Cuts a stream of bytes behind whole events.
+/// Splits a byte stream after whole events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     pending: BytesMut,
@@ -14,22 +14,23 @@
 }
 
 impl Splitter {
-    /// Takes bytes; gives those that end behind a whole event, where there are any.
+    /// Appends data and returns the bytes up to the last whole event; `None` if none is complete.
     pub fn push(&mut self, data: &[u8]) -> Option<Bytes> {
-        let searched = self.pending.len().saturating_sub(3);
+        let search_start = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(data);
-        let end = last_end(&self.pending, searched)?;
-        let whole = self.pending.split_to(end).freeze();
-        self.note(&whole);
-        Some(whole)
+        let end = last_event_end(&self.pending, search_start)?;
+        let events = self.pending.split_to(end).freeze();
+        self.record_ids(&events);
+        Some(events)
     }
 
-    /// Bytes behind the last whole event; they belong to the answer only where its end is told.
+    /// Returns the bytes after the last whole event. They are only valid if the response has ended
+    /// properly.
     pub fn finish(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 
-    /// Forgets a started event.
+    /// Discards an incomplete event.
     pub fn discard(&mut self) {
         self.pending.clear();
     }
@@ -39,24 +40,24 @@
         self.last_id.as_ref()
     }
 
-    /// Whole events so far.
+    /// Number of whole events with an id.
     pub const fn count(&self) -> u64 {
         self.count
     }
 
-    fn note(&mut self, whole: &Bytes) {
-        for line in whole.split(|byte| *byte == b'\n') {
+    fn record_ids(&mut self, events: &Bytes) {
+        for line in events.split(|byte| *byte == b'\n') {
             let line = line.trim_ascii();
             if let Some(id) = line.strip_prefix(b"id:") {
-                self.last_id = Some(whole.slice_ref(id.trim_ascii()));
+                self.last_id = Some(events.slice_ref(id.trim_ascii()));
                 self.count += 1;
             }
         }
     }
 }
 
-/// Place behind the last blank line at or after `from`.
-fn last_end(bytes: &[u8], from: usize) -> Option<usize> {
+/// Returns the index after the last blank line that starts at or after `from`.
+fn last_event_end(bytes: &[u8], from: usize) -> Option<usize> {
     let mut end = None;
     for index in from..bytes.len() {
         if bytes[index..].starts_with(b"\n\n") {
--- a/crates/gingerpier_serving/src/fleet.rs
+++ b/crates/gingerpier_serving/src/fleet.rs
@@ -1,9 +1,9 @@
-//! Engines, who they are.
+//! Registry of the known engines.
 //!
-//! An engine is known by its id and by when it started, never by its address alone. It may start again under its id: it
-//! holds and knows nothing of before then, so it is another engine here, with a key of its own. An engine that ended may
-//! stay listed for a while beside the one that took its address. Entries of services that nobody named, which anybody may
-//! write, name no engine.
+//! An engine is identified by its id and start time. A restarted engine has the same id but none of
+//! the former state, so it is a new incarnation with its own key. The entry of a stopped engine may
+//! remain in the store next to that of a new engine at the same address. Anyone can write entries,
+//! so those of services that aren't configured are ignored.
 
 use {
     crate::{
@@ -19,92 +19,92 @@
     },
 };
 
-/// Milliseconds for which an entry that tells of an earlier start counts as late word. An engine writes its entry about
-/// every 1.2 s, so the one that is there has written several times by then.
-const DOUBT_MILLIS: u64 = 10_000;
+/// Time after which an entry with an earlier start time is accepted instead of regarded as stale;
+/// several times the interval at which engines write their entries.
+const CONTESTED_MILLIS: u64 = 10_000;
 
-/// Key of an engine within its [`Fleet`]; keys are not reused.
+/// Key of an engine incarnation within its [`Fleet`]; never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineKey(pub u32);
 
-/// Whether an engine takes new work.
+/// Lifecycle state in an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It is leaving.
+    /// Accepts no new requests and stops when the running ones are complete.
     Draining,
 }
 
-/// What the platform lists of an engine.
+/// Entry of an engine in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
-    /// Id of the engine; with when it started, that of an incarnation.
+    /// Engine id; all incarnations share it.
     pub id: String,
-    /// Service.
+    /// Service name.
     pub service: String,
-    /// Address.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Zone.
+    /// Availability zone.
     pub zone: String,
-    /// Whether it takes new work.
+    /// Lifecycle state.
     pub state: State,
-    /// Requests that it runs at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Milliseconds for which it is still cold; 0 where it is warm or does not tell.
+    /// Remaining warm-up time; 0 if warm or not reported.
     pub cold_millis: u64,
-    /// What it held and did when it was listed.
+    /// Status report within the entry.
     pub report: Report,
 }
 
-/// How an incarnation that is told of stands to the one that is known.
+/// Order of two incarnations of an engine by their start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
-    /// It is the same, as far as can be told.
+enum StartComparison {
+    /// Same incarnation, or a start time is unknown.
     Same,
-    /// It started later: the known one has ended.
+    /// Later than the known incarnation, which has therefore ended.
     Later,
-    /// It started earlier: the word is late.
+    /// Earlier than the known incarnation: a stale message.
     Earlier,
 }
 
-impl Told {
-    fn of(told: Option<Born>, known: Option<Born>) -> Self {
-        match (told, known) {
-            (Some(told), Some(known)) if told > known => Self::Later,
-            (Some(told), Some(known)) if told < known => Self::Earlier,
+impl StartComparison {
+    fn compare(reported: Option<Born>, known: Option<Born>) -> Self {
+        match (reported, known) {
+            (Some(reported), Some(known)) if reported > known => Self::Later,
+            (Some(reported), Some(known)) if reported < known => Self::Earlier,
             _ => Self::Same,
         }
     }
 }
 
-/// An entry of an incarnation that started earlier than the known one.
+/// Entry with an earlier start time than the known incarnation.
 #[derive(Debug, Clone)]
-struct Doubt {
+struct ContestedEntry {
     record: Record,
     revision: Revision,
-    /// When it was first looked at.
-    since: Option<Instant>,
+    /// Time of the first check.
+    first_checked_at: Option<Instant>,
 }
 
-/// All engines known.
+/// All engines that were ever listed, with indexes over the current ones.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     engines: Vec<Engine>,
     by_id: HashMap<String, EngineKey>,
     by_service: HashMap<String, Vec<EngineKey>>,
-    /// Engines at each address: those that are listed, and the one that was listed last.
+    /// Listed engines at each address, and the latest one even if it isn't listed anymore.
     by_address: HashMap<SocketAddr, Vec<EngineKey>>,
-    /// Services that engines may be of; all where none are known.
+    /// Configured services; `None` accepts all.
     services: Option<HashSet<String>>,
     regions: Regions,
-    /// Zones whose engines are to get no requests.
+    /// Zones whose engines get no requests.
     evacuated: HashSet<String>,
-    doubts: HashMap<String, Doubt>,
+    contested: HashMap<String, ContestedEntry>,
 }
 
 impl Fleet {
-    /// Fleet of a deployment with these `regions`.
+    /// Creates an empty registry with the regions of a deployment.
     pub fn of(regions: Regions) -> Self {
         Self {
             regions,
@@ -112,13 +112,14 @@
         }
     }
 
-    /// Takes whether the engines of `zone` are to get no requests. Those of a zone that is taken back may have turned cold.
+    /// Sets whether `zone` is evacuated. Engines of a zone that becomes available again may be
+    /// cold.
     pub fn set_evacuated(&mut self, zone: &str, is_evacuated: bool, now: Instant) {
-        let is_news = match is_evacuated {
+        let is_changed = match is_evacuated {
             true => self.evacuated.insert(zone.to_owned()),
             false => self.evacuated.remove(zone),
         };
-        if !is_news {
+        if !is_changed {
             return;
         }
         for engine in &mut self.engines {
@@ -132,48 +133,48 @@
         }
     }
 
-    /// Region and evacuation of an engine's zone.
-    fn place(&mut self, key: EngineKey) {
+    /// Updates an engine's region and evacuation state from its zone.
+    fn update_location(&mut self, key: EngineKey) {
         let engine = &mut self.engines[key.0 as usize];
         engine.region = self.regions.of_zone(&engine.record.zone);
         engine.is_evacuated = self.evacuated.contains(&engine.record.zone);
     }
 
-    /// Takes what the platform lists of an engine at `revision`.
+    /// Adds or updates an engine from its entry at a store revision.
     pub fn list(&mut self, record: Record, revision: Revision) -> EngineKey {
         let Some(key) = self.by_id.get(&record.id).copied() else {
             return self.add(record, revision);
         };
-        let told = Told::of(record.report.born, self.engine(key).born);
-        if told == Told::Earlier {
-            let doubt = Doubt {
+        let comparison = StartComparison::compare(record.report.born, self.engine(key).born);
+        if comparison == StartComparison::Earlier {
+            let entry = ContestedEntry {
                 record,
                 revision,
-                since: None,
+                first_checked_at: None,
             };
-            self.doubts.insert(doubt.record.id.clone(), doubt);
+            self.contested.insert(entry.record.id.clone(), entry);
             return key;
         }
-        self.doubts.remove(&record.id);
-        match told {
-            Told::Later => self.replace(key, record, revision),
-            Told::Same | Told::Earlier => self.relist(key, record, revision),
+        self.contested.remove(&record.id);
+        match comparison {
+            StartComparison::Later => self.replace(key, record, revision),
+            StartComparison::Same | StartComparison::Earlier => self.relist(key, record, revision),
         }
     }
 
     fn relist(&mut self, key: EngineKey, record: Record, revision: Revision) -> EngineKey {
         let engine = &mut self.engines[key.0 as usize];
-        // Leaving is a one-way state of an incarnation.
+        // An incarnation never returns from draining to ready.
         let state = match engine.record.state {
             State::Draining => State::Draining,
             State::Ready => record.state,
         };
-        let last = engine.record.address;
+        let former_address = engine.record.address;
         engine.born = engine.born.or(record.report.born);
         engine.record = Record { state, ..record };
         engine.revision = revision;
         engine.lapses_at = None;
-        self.place(key);
+        self.update_location(key);
         let engine = &mut self.engines[key.0 as usize];
         let address = engine.record.address;
         if engine.is_gone {
@@ -181,16 +182,16 @@
             let service = engine.record.service.clone();
             self.by_service.entry(service).or_default().push(key);
         }
-        if address != last
-            && let Some(there) = self.by_address.get_mut(&last)
+        if address != former_address
+            && let Some(former_keys) = self.by_address.get_mut(&former_address)
         {
-            there.retain(|other| *other != key);
+            former_keys.retain(|other| *other != key);
         }
-        let here = self.by_address.entry(address).or_default();
-        if !here.contains(&key) {
-            here.push(key);
+        let address_keys = self.by_address.entry(address).or_default();
+        if !address_keys.contains(&key) {
+            address_keys.push(key);
         }
-        self.settle_address(address);
+        self.update_replaced(address);
         key
     }
 
@@ -202,30 +203,31 @@
         self.by_service.entry(service).or_default().push(key);
         self.by_address.entry(address).or_default().push(key);
         self.engines.push(Engine::new(record, revision));
-        self.place(key);
-        self.settle_address(address);
+        self.update_location(key);
+        self.update_replaced(address);
         key
     }
 
-    /// Puts another incarnation in the place of the one at `key`. It has a key of its own, so nothing that was learnt
-    /// of the one before counts for it: not its load, its failures, what it held, or that it was leaving.
+    /// Replaces an incarnation by a later one with a new key, so that no load, failures or weights
+    /// carry over.
     fn replace(&mut self, key: EngineKey, record: Record, revision: Revision) -> EngineKey {
         self.remove(key);
         self.add(record, revision)
     }
 
-    /// Engine at `address` that a word of the incarnation `born` is about; none where it has ended, or none is listed
-    /// there. An incarnation that started later than the known one takes its place, as what it lists comes later.
+    /// Returns the incarnation at `address` that a message with this start time belongs to; `None`
+    /// if it has ended or isn't listed. A later incarnation replaces the known one even before its
+    /// entry arrives.
     pub fn incarnation(&mut self, address: SocketAddr, born: Option<Born>) -> Option<EngineKey> {
         let key = self.at_address(address)?;
-        match Told::of(born, self.engine(key).born) {
-            Told::Earlier => None,
-            Told::Same => {
+        match StartComparison::compare(born, self.engine(key).born) {
+            StartComparison::Earlier => None,
+            StartComparison::Same => {
                 let engine = self.engine_mut(key);
                 engine.born = engine.born.or(born);
                 Some(key)
             }
-            Told::Later => {
+            StartComparison::Later => {
                 let engine = self.engine(key);
                 let revision = engine.revision;
                 let record = Record {
@@ -241,31 +243,35 @@
         }
     }
 
-    /// Takes incarnations for the true ones that are listed although they started earlier than those that were known,
-    /// where these have said nothing for long: a clock may have been set back between two starts. Gives their ids.
+    /// Accepts entries with an earlier start time whose known incarnation no longer reports, as the
+    /// engine's clock may have been set back. Returns the ids of these engines.
     pub fn settle_doubts(&mut self, now: Instant) -> Vec<String> {
-        let mut settled = Vec::new();
-        let mut doubts = std::mem::take(&mut self.doubts);
-        doubts.retain(|id, doubt| {
+        let mut accepted = Vec::new();
+        let mut contested = std::mem::take(&mut self.contested);
+        contested.retain(|id, entry| {
             let Some(key) = self.by_id.get(id).copied() else {
                 return false;
             };
             if self.engine(key).fresh_report(now).is_some() {
                 return false;
             }
-            let since = *doubt.since.get_or_insert(now);
-            if !since.after_millis(DOUBT_MILLIS).has_passed(now) {
+            let first_checked_at = *entry.first_checked_at.get_or_insert(now);
+            if !first_checked_at
+                .after_millis(CONTESTED_MILLIS)
+                .has_passed(now)
+            {
                 return true;
             }
-            settled.push(id.clone());
-            self.replace(key, doubt.record.clone(), doubt.revision);
+            accepted.push(id.clone());
+            self.replace(key, entry.record.clone(), entry.revision);
             false
         });
-        self.doubts = doubts;
-        settled
+        self.contested = contested;
+        accepted
     }
 
-    /// Takes the names of services that engines may be of. Entries of others name no engine, whatever address they give.
+    /// Sets the configured services. Engines of other services don't replace those at the same
+    /// address.
     pub fn set_services(&mut self, names: impl Iterator<Item = String>) {
         let names: HashSet<String> = names.collect();
         if self.services.as_ref() == Some(&names) {
@@ -274,29 +280,29 @@
         self.services = Some(names);
         let addresses: Vec<SocketAddr> = self.by_address.keys().copied().collect();
         for address in addresses {
-            self.settle_address(address);
+            self.update_replaced(address);
         }
     }
 
-    /// Of the engines at one address, only the one that was listed last is there: an engine that
-    /// ended stays listed for a while, and its address may be taken again meanwhile.
-    fn settle_address(&mut self, address: SocketAddr) {
-        let Some(here) = self.by_address.get_mut(&address) else {
+    /// Marks all engines at `address` but the most recently listed one as replaced.
+    fn update_replaced(&mut self, address: SocketAddr) {
+        let Some(address_keys) = self.by_address.get_mut(&address) else {
             return;
         };
         let engines = &mut self.engines;
         let services = self.services.as_ref();
-        let is_named = |engine: &Engine| {
+        let is_configured = |engine: &Engine| {
             services.is_none_or(|services| services.contains(&engine.record.service))
         };
-        let named = here.iter().copied();
-        let named = named.filter(|key| is_named(&engines[key.0 as usize]));
-        let last = named.max_by_key(|key| (engines[key.0 as usize].revision, *key));
-        for key in here.iter() {
-            engines[key.0 as usize].is_replaced = Some(*key) != last;
+        let configured = address_keys.iter().copied();
+        let configured = configured.filter(|key| is_configured(&engines[key.0 as usize]));
+        let latest = configured.max_by_key(|key| (engines[key.0 as usize].revision, *key));
+        for key in address_keys.iter() {
+            engines[key.0 as usize].is_replaced = Some(*key) != latest;
         }
-        // The last one is remembered also when it has gone: those before it have ended all the same.
-        here.retain(|key| Some(*key) == last || !engines[key.0 as usize].is_gone);
+        // The latest engine is kept even if it isn't listed anymore, so that earlier ones stay
+        // replaced.
+        address_keys.retain(|key| Some(*key) == latest || !engines[key.0 as usize].is_gone);
     }
 
     fn remove(&mut self, key: EngineKey) {
@@ -308,16 +314,16 @@
         }
     }
 
-    /// Takes an engine off the list.
+    /// Removes an engine from the listed ones.
     pub fn unlist(&mut self, id: &str) -> Option<EngineKey> {
         let key = self.by_id.get(id).copied()?;
-        self.doubts.remove(id);
+        self.contested.remove(id);
         self.remove(key);
         Some(key)
     }
 
-    /// Notes that an engine's entry is missing: unless it is back before `until`, it is gone. One that said
-    /// that it leaves is gone at once.
+    /// Marks an entry as missing: a ready engine is removed at `until` unless its entry returns, a
+    /// draining one immediately.
     pub fn lapse(&mut self, id: &str, until: Instant) {
         let Some(key) = self.find(id) else { return };
         let engine = self.engine_mut(key);
@@ -329,34 +335,34 @@
         }
     }
 
-    /// Takes engines off whose entries are still missing; gives them.
+    /// Removes the engines whose missing entries have expired, and returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<EngineKey> {
-        let is_over = |engine: &Engine| engine.lapses_at.is_some_and(|at| at.has_passed(now));
-        let over = self.listed().filter(|(_, engine)| is_over(engine));
-        let over: Vec<EngineKey> = over.map(|(key, _)| key).collect();
-        for key in &over {
+        let is_expired = |engine: &Engine| engine.lapses_at.is_some_and(|at| at.has_passed(now));
+        let expired = self.listed().filter(|(_, engine)| is_expired(engine));
+        let expired: Vec<EngineKey> = expired.map(|(key, _)| key).collect();
+        for key in &expired {
             let id = self.engine(*key).record.id.clone();
             self.unlist(&id);
         }
-        over
+        expired
     }
 
-    /// Key of the engine with `id`.
+    /// Key of the current incarnation of an engine.
     pub fn find(&self, id: &str) -> Option<EngineKey> {
         self.by_id.get(id).copied()
     }
 
-    /// An engine.
+    /// Engine with this key.
     pub fn engine(&self, key: EngineKey) -> &Engine {
         &self.engines[key.0 as usize]
     }
 
-    /// An engine, to be changed.
+    /// Mutable reference to the engine with this key.
     pub fn engine_mut(&mut self, key: EngineKey) -> &mut Engine {
         &mut self.engines[key.0 as usize]
     }
 
-    /// Engines of `service` that are listed.
+    /// Listed engines of a service, including replaced ones.
     pub fn of_service<'a>(
         &'a self,
         service: &str,
@@ -365,7 +371,7 @@
         keys.iter().map(|key| (*key, self.engine(*key)))
     }
 
-    /// Those of them that are there: an engine that ended may stay listed beside the one that took its address.
+    /// Listed engines of a service that aren't replaced by a newer one at the same address.
     pub fn present<'a>(
         &'a self,
         service: &str,
@@ -374,22 +380,22 @@
             .filter(|(_, engine)| !engine.is_replaced)
     }
 
-    /// All engines that are listed.
+    /// All listed engines.
     pub fn listed(&self) -> impl Iterator<Item = (EngineKey, &Engine)> {
         let all = self.engines.iter().enumerate();
         all.filter(|(_, engine)| !engine.is_gone)
             .map(|(index, engine)| (EngineKey(index as u32), engine))
     }
 
-    /// All engines that were ever known.
+    /// All engines, including removed ones.
     pub fn known(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter()
     }
 
-    /// The listed engine at `address`; the one that was listed last, where an address was reused.
+    /// Listed engine at `address` that isn't replaced.
     pub fn at_address(&self, address: SocketAddr) -> Option<EngineKey> {
-        let mut here = self.by_address.get(&address)?.iter().copied();
-        let key = here.find(|key| !self.engine(*key).is_replaced)?;
+        let mut address_keys = self.by_address.get(&address)?.iter().copied();
+        let key = address_keys.find(|key| !self.engine(*key).is_replaced)?;
         (!self.engine(key).is_gone).then_some(key)
     }
 }
--- a/crates/gingerpier_serving/src/prediction.rs
+++ b/crates/gingerpier_serving/src/prediction.rs
@@ -1,69 +1,72 @@
-//! When an engine's first event would come.
+//! Prediction of the time to the first event on an engine.
 //!
-//! Engines batch: a pass gives every running request some tokens and reads the prompts that came
-//! in meanwhile. Past its slots an engine lets requests wait. What runs and waits there for other
-//! gateways is known from the engine's report, what this gateway sent since is counted exactly.
+//! Engines batch continuously: each pass generates tokens for all running requests and processes
+//! chunks of new prompts. Requests beyond the engine's slots queue. Requests of other gateways are
+//! known from the engine's status report; those that this gateway has sent since are counted
+//! exactly.
 
 use {
     crate::{backlog, configuration::EngineModel, engine::Engine},
     gingerpier_base::Instant,
 };
 
-/// Passes from the end of a prompt's reading to its first event, beside the share of one that is
-/// under way when the request comes: an event holds the tokens of about one pass.
-const FIRST_PASSES: f64 = 1.0;
+/// Passes between the end of a prompt and its first event, in addition to a pass already in
+/// progress.
+const PASSES_TO_FIRST_EVENT: f64 = 1.0;
 
-/// Times as many requests as to an average engine that come unseen to one which is worth choosing:
-/// the others know the same of it. 1 and 2.5 were measured, docs/design/experiments.md.
-const ATTRACTION: f64 = 2.5;
+/// Ratio of the unreported requests at a selected engine to those at an average one, as other
+/// gateways also prefer it.
+const SELECTION_BIAS: f64 = 2.5;
 
-/// Most milliseconds for which requests of other gateways are taken to have come unseen.
-const MOST_UNSEEN_MILLIS: u64 = 500;
+/// Longest period for which unreported requests are estimated.
+const MAX_UNREPORTED_MILLIS: u64 = 500;
 
-/// Share of a pass that is left, on average, when a request comes to a running engine.
-const LEFT_OF_PASS: f64 = 0.5;
+/// Average fraction of a pass that remains when a request arrives.
+const REMAINING_PASS_SHARE: f64 = 0.5;
 
-/// Milliseconds of a pass with `running` requests.
+/// Returns the duration of a pass with `running` requests.
 pub fn pass_millis(model: &EngineModel, running: f64) -> f64 {
-    let context = f64::from(model.usual_prompt + model.usual_answer / 2) / 1_000.0;
-    let each = model.per_request_millis + model.per_thousand_tokens_millis * context;
-    f64::from(model.stride) * (model.step_millis + each * running)
+    let context_thousands = f64::from(model.usual_prompt + model.usual_answer / 2) / 1_000.0;
+    let per_request_step_millis =
+        model.per_request_millis + model.per_thousand_tokens_millis * context_thousands;
+    f64::from(model.stride) * (model.step_millis + per_request_step_millis * running)
 }
 
-/// Milliseconds of an engine's work that a usual request takes when its slots are full.
+/// Returns the engine time that an average request takes when all slots are in use.
 pub fn work_millis(model: &EngineModel) -> f64 {
     let slots = f64::from(model.slots.max(1));
     let passes = f64::from(model.usual_answer) / f64::from(model.stride.max(1));
     passes * pass_millis(model, slots) / slots + usual_reading_millis(model)
 }
 
-/// Milliseconds in which an engine reads a usual prompt.
+/// Returns the time in which an engine processes an average prompt.
 pub fn usual_reading_millis(model: &EngineModel) -> f64 {
     f64::from(model.usual_prompt) / model.read_per_milli
 }
 
-/// Milliseconds to the first event of a request with `prompt_tokens` at an engine without other work.
+/// Returns the time to the first event on an idle engine.
 pub fn idle_first_millis(model: &EngineModel, prompt_tokens: u64) -> f64 {
-    FIRST_PASSES * pass_millis(model, 0.0) + reading_millis(model, prompt_tokens as f64, 0.0)
+    PASSES_TO_FIRST_EVENT * pass_millis(model, 0.0)
+        + prompt_millis(model, prompt_tokens as f64, 0.0)
 }
 
-/// What a predicted time to a first event is made of, in milliseconds.
+/// Components of a predicted time to the first event, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Parts {
     /// Wait for a slot.
     pub queue: f64,
-    /// Passes with those that run.
+    /// Passes together with the running requests.
     pub passes: f64,
-    /// Prompts of others that are read before.
+    /// Prompts of other requests that are processed first.
     pub others: f64,
-    /// Its own prompt.
+    /// The request's own prompt.
     pub own: f64,
-    /// Times longer than usual that the engine takes for everything; all parts hold it.
+    /// Slowdown factor of the engine, already applied to all components; 1 is normal.
     pub pace: f64,
 }
 
 impl Default for Parts {
-    /// Nothing, at the usual pace.
+    /// Zero duration without slowdown.
     fn default() -> Self {
         Self {
             queue: 0.0,
@@ -76,57 +79,63 @@
 }
 
 impl Parts {
-    /// All of it.
+    /// Returns the total time.
     pub fn sum(&self) -> f64 {
         self.queue + self.passes + self.others + self.own
     }
 }
 
-/// Predicted time to the first event of a request with `prompt_tokens` at `engine`, where so many requests of other
-/// gateways come to each engine in a millisecond.
+/// Predicts the time to the first event on `engine`. `unreported_per_milli` is the rate at which other
+/// gateways send requests to each engine.
 pub fn first_event(
     engine: &Engine,
     model: &EngineModel,
     prompt_tokens: u64,
-    unseen_per_milli: f64,
+    unreported_per_milli: f64,
     now: Instant,
 ) -> Parts {
-    let age = engine.report_age(now).unwrap_or_default();
-    let age = age.min(MOST_UNSEEN_MILLIS) as f64;
-    let unseen = ATTRACTION * unseen_per_milli * age;
-    let seen = engine.seen(now);
-    let requests = seen.requests + unseen;
+    let age_millis = engine.report_age(now).unwrap_or_default();
+    let age_millis = age_millis.min(MAX_UNREPORTED_MILLIS) as f64;
+    let unreported = SELECTION_BIAS * unreported_per_milli * age_millis;
+    let load = engine.seen(now);
+    let requests = load.requests + unreported;
     let slots = f64::from(model.slots);
     let running = requests.min(slots);
     let queue = (requests + 1.0 - slots).max(0.0) * work_millis(model);
-    let passes = FIRST_PASSES + LEFT_OF_PASS * running.min(1.0);
-    // Whoever waits for a slot is read later, as part of the work that the queue stands for.
-    let sent_since = unseen.min(slots) * f64::from(model.usual_prompt);
-    let ahead = left_to_read(model, seen.unread_tokens, running, age) + sent_since;
-    let others = reading_millis(model, ahead, running);
-    let reading = reading_millis(model, prompt_tokens as f64 + ahead, running);
+    let passes = PASSES_TO_FIRST_EVENT + REMAINING_PASS_SHARE * running.min(1.0);
+    // The prompts of queued requests are part of the queueing time.
+    let unreported_tokens = unreported.min(slots) * f64::from(model.usual_prompt);
+    let tokens_ahead =
+        remaining_tokens(model, load.unread_tokens, running, age_millis) + unreported_tokens;
+    let others = prompt_millis(model, tokens_ahead, running);
+    let prompt_millis_total = prompt_millis(model, prompt_tokens as f64 + tokens_ahead, running);
     let pace = engine.latest(now).pace.max(1.0);
     Parts {
         queue: queue * pace,
         passes: passes * pass_millis(model, running) * pace,
         others: others * pace,
-        own: (reading - others) * pace,
+        own: (prompt_millis_total - others) * pace,
         pace,
     }
 }
 
-/// Of `unread` prompt tokens, those that are left after `millis`.
-fn left_to_read(model: &EngineModel, unread: u64, running: f64, millis: f64) -> f64 {
-    let read = millis * backlog::read_per_milli(model, running);
-    (unread as f64 - read).max(0.0)
+/// Returns how many of the `unprocessed_tokens` prompt tokens remain after `millis`.
+fn remaining_tokens(
+    model: &EngineModel,
+    unprocessed_tokens: u64,
+    running: f64,
+    millis: f64,
+) -> f64 {
+    let processed = millis * backlog::read_per_milli(model, running);
+    (unprocessed_tokens as f64 - processed).max(0.0)
 }
 
-/// Milliseconds in which an engine with `running` requests reads `tokens` of prompts: a part in
-/// each pass, and the steps of those that run between two parts.
-fn reading_millis(model: &EngineModel, tokens: f64, running: f64) -> f64 {
-    let parts = model
+/// Returns the time in which an engine with `running` requests processes `tokens` of prompts,
+/// including the passes between prompt chunks.
+fn prompt_millis(model: &EngineModel, tokens: f64, running: f64) -> f64 {
+    let chunks = model
         .read_at_once
-        .map_or(0.0, |part| tokens / f64::from(part.max(1)));
-    let steps_between = (parts - 1.0).max(0.0) * pass_millis(model, running);
-    tokens / model.read_per_milli + steps_between
+        .map_or(0.0, |chunk_tokens| tokens / f64::from(chunk_tokens.max(1)));
+    let interleaved_millis = (chunks - 1.0).max(0.0) * pass_millis(model, running);
+    tokens / model.read_per_milli + interleaved_millis
 }
--- a/crates/gingerpier_serving/src/region.rs
+++ b/crates/gingerpier_serving/src/region.rs
@@ -1,7 +1,7 @@
-//! Regions, and those in which a request may be served.
+//! Regions and sets of them in which requests may run.
 //!
-//! Operators may bind a route or a client account to regions. Their names are resolved once, when a configuration comes
-//! into force, so that each choice of an engine compares numbers only.
+//! Operators can restrict a route or a client account to regions. Region names are resolved when a
+//! configuration is applied, so that engine selection only compares bits.
 //!
 //! ```
 //! use gingerpier_serving::region::{Homes, Regions};
@@ -16,30 +16,30 @@
 
 use std::collections::HashMap;
 
-/// Regions that are told apart; requests that are bound to any beyond these are not served.
+/// Limit of the regions; requests that are restricted to others are refused.
 pub const MAX_REGIONS: usize = 63;
 
 /// Key of a region within its [`Regions`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegionKey(u8);
 
-/// Regions in which a request may be served, one bit each.
+/// Set of regions, one bit each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Homes(u64);
 
 impl Homes {
-    /// All regions, and zones of which no region is known.
+    /// Every region, including the unknown region of an unlisted zone.
     pub const ANYWHERE: Self = Self(u64::MAX);
 
-    /// No region.
+    /// The empty set.
     pub const NOWHERE: Self = Self(0);
 
-    /// Regions that are in both.
+    /// Intersection of two sets.
     pub const fn and(self, other: Self) -> Self {
         Self(self.0 & other.0)
     }
 
-    /// True where a request may be served in `region`; none stands for a zone of which no region is known.
+    /// Returns true if the set contains `region`; `None` is the unknown region of an unlisted zone.
     pub fn admit(self, region: Option<RegionKey>) -> bool {
         self == Self::ANYWHERE || region.is_some_and(|region| self.0 & (1 << region.0) != 0)
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// The regions of a deployment and their zones.
+/// Regions of a deployment and the zones in each.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Regions {
     names: Vec<String>,
@@ -59,7 +59,7 @@
 }
 
 impl Regions {
-    /// Regions of these pairs of a zone and its region.
+    /// Creates the regions from pairs of a zone and its region.
     pub fn new<'a>(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         let mut regions = Self::default();
         for (zone, region) in pairs {
@@ -81,24 +81,24 @@
         self.find(name)
     }
 
-    /// Key of the region called `name`.
+    /// Key of the region with this name.
     pub fn find(&self, name: &str) -> Option<RegionKey> {
         let index = self.names.iter().position(|known| known == name)?;
         u8::try_from(index).ok().map(RegionKey)
     }
 
-    /// Region of a zone.
+    /// Region of a zone; `None` if unknown.
     pub fn of_zone(&self, zone: &str) -> Option<RegionKey> {
         self.of_zone.get(zone).copied()
     }
 
-    /// Homes of what operators bind to the regions called `names`; anywhere where they bind it to none. A name that is not
-    /// known stands for no region here, so what is bound to it alone is served nowhere.
+    /// Resolves a list of region names; an empty list is no restriction. Unknown names are ignored,
+    /// so a list of only unknown names yields the empty set.
     pub fn homes(&self, names: &[String]) -> Homes {
         if names.is_empty() {
             return Homes::ANYWHERE;
         }
         let known = names.iter().filter_map(|name| self.find(name));
-        Homes(known.fold(0, |homes, region| homes | (1 << region.0)))
+        Homes(known.fold(0, |bits, region| bits | (1 << region.0)))
     }
 }
--- a/crates/gingerpier_serving/src/report.rs
+++ b/crates/gingerpier_serving/src/report.rs
@@ -1,44 +1,44 @@
-//! What an engine says of itself.
+//! Status report of an engine.
 
-/// Version of a model's weights; versions start at 1 and rise.
+/// Version of a model's weights; starts at 1 and increases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Version(pub u64);
 
-/// When an engine started, in Unix milliseconds of its own clock: with its id the name of one incarnation. It is only
-/// compared with others of the same engine, never with a clock here, which may differ by seconds.
+/// Start time of an engine in Unix milliseconds of its own clock. Only compared between
+/// incarnations of one engine, as clocks of boxes differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Born(pub u64);
 
-/// Weights that an engine holds.
+/// Loaded weights of one model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Held {
-    /// Model.
+    /// Model name.
     pub model: String,
-    /// Version.
+    /// Weights version.
     pub version: Version,
 }
 
-/// State of an engine at one moment.
+/// State of an engine at one time.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Report {
-    /// When the engine started; none where it does not tell.
+    /// Start time of the engine; `None` if not reported.
     pub born: Option<Born>,
-    /// Weights that it holds.
+    /// Loaded weights.
     pub held: Vec<Held>,
-    /// True while it carries out an order.
+    /// True while the engine executes an order.
     pub is_busy: bool,
-    /// Orders that it has taken.
+    /// Number of orders that the engine has received.
     pub sequence: u64,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: u32,
-    /// Requests that run.
+    /// Running requests.
     pub active: u32,
-    /// Tokens in its memory that can't give way.
+    /// Tokens in memory that can't be evicted.
     pub memory_used: u64,
-    /// Tokens that its memory holds.
+    /// Memory capacity in tokens.
     pub memory_total: u64,
-    /// Prompt tokens that it has admitted and not yet read, as far as can be told.
+    /// Estimated prompt tokens that are admitted but not yet processed.
     pub unread_tokens: u64,
-    /// How slow it is; 1 is usual, above is slow.
+    /// Slowdown factor; 1 is normal speed.
     pub pace: f64,
 }
--- a/crates/gingerpier_serving/src/returns.rs
+++ b/crates/gingerpier_serving/src/returns.rs
@@ -1,16 +1,17 @@
-//! Whether a caller comes for the first time or after a refusal, by how long it will wait.
+//! Detection of callers that return after a refusal, by their remaining patience.
 //!
-//! A request says how long its caller waits. One that was refused and came again has that much less left, so it
-//! stands out where callers of one route wait about equally long at first. How long that is, nobody tells: it is
-//! learnt for each route while hardly anybody is refused, as a range from the least to the most. Where waits are
-//! not drawn from a range, or none is known yet, the answer is [`Visit::Unknown`].
+//! Each request states how long its caller waits. A caller that returns after a refusal has less
+//! patience left, so it stands out if the callers of a route start with similar patience. The range
+//! of initial patience is learned for each route while few requests are refused. Without a usable
+//! range, the result is [`Visit::Unknown`].
 //!
-//! A process may start where many are refused all the time, as after a loss of power of everything. Then those who came
-//! back are among the waits that it sees, and only callers who all wait equally long at first stand out: as one narrow
-//! peak at the upper end, while those who came back are spread below. That is told until a calm moment tells more.
+//! A gateway that starts under lasting overload, such as after a site-wide power loss, sees
+//! returning callers from the beginning. It can then only detect initial patience that is equal for
+//! all callers, as a narrow peak at the upper end. Such a range is used until one is learned
+//! without overload.
 //!
-//! What operators set as a route's time says nothing of how long callers wait, so it is not looked at: a change of
-//! it must not turn all callers into returning ones.
+//! The route's configured timeout is not used: it doesn't determine the callers' patience, and
+//! changing it must not reclassify all of them.
 
 use {
     gingerpier_base::Instant,
@@ -20,216 +21,222 @@
     },
 };
 
-/// Waits of which a range is told at least: a tenth of them is the second lowest then.
-const LEAST_WAITS: usize = 16;
+/// Number of samples that a range is computed from, at least.
+const MIN_SAMPLES: usize = 16;
 
-/// Waits that are kept of one route: a tenth of them is known to within some 3 in 100 of the range.
-const MOST_WAITS: usize = 128;
+/// Number of samples kept per route.
+const MAX_SAMPLES: usize = 128;
 
-/// New waits after which the range is told anew.
-const RENEW_EVERY: u32 = 8;
+/// Number of new samples after which the range is recomputed.
+const SAMPLES_PER_UPDATE: u32 = 8;
 
-/// Routes of which waits are kept, some 600 bytes each: a gateway of 160 MB spends 0.1% on them.
-const MOST_ROUTES: usize = 256;
+/// Limit of the routes with samples, at about 600 bytes each.
+const MAX_ROUTES: usize = 256;
 
-/// Milliseconds under the least wait within which a caller still counts as new: a range that was learnt from few
-/// waits is off by about that much, and nobody is told to come back sooner than in ten times as long.
-const MARGIN_MILLIS: u64 = 40;
+/// Tolerance of the range's ends.
+const TOLERANCE_MILLIS: u64 = 40;
 
-/// Share of the kept waits that may lie under the range. More of them show that callers do not draw their waits
-/// from a range, or that many had been refused elsewhere.
-const MOST_BELOW: f64 = 0.04;
+/// Fraction of the samples that may lie below the range. A larger fraction indicates that the
+/// callers' initial patience isn't drawn from one range.
+const MAX_SHARE_BELOW: f64 = 0.04;
 
-/// Share of requests up to which refusals do not disturb what is learnt: tenths and halves of the waits hardly
-/// move by so few.
-const CALM_SHARE: f64 = 0.02;
+/// Refusal rate up to which the few returning callers don't distort the quantiles.
+const LOW_REFUSAL_RATE: f64 = 0.02;
 
-/// Share of the kept waits that has to lie at their upper end for the peak of those that come first: where every second
-/// caller is refused and comes back once, that is two thirds of them.
-const PEAK_SHARE: f64 = 0.25;
+/// Fraction of the samples that the peak of initial patience must hold.
+const MIN_PEAK_SHARE: f64 = 0.25;
 
-/// Most of the kept waits that may lie together below it, in a range as narrow: those that are told to come back after
-/// 0.6 to 1.6 s are spread over a second, of which a range of 80 ms holds a twelfth. Another peak is another kind of callers.
-const MOST_TOGETHER: f64 = 0.15;
+/// Largest fraction of the samples in any other window as wide as the peak: a second peak indicates
+/// another group of callers.
+const MAX_OTHER_PEAK_SHARE: f64 = 0.15;
 
-/// Place of the upper end among the sorted waits: a few callers may say anything.
-const UPPER_END: f64 = 0.97;
+/// Quantile that is used as the upper end, so that single outliers are ignored.
+const UPPER_END_QUANTILE: f64 = 0.97;
 
-/// Milliseconds over which requests and refusals are counted: whoever was refused is back by then, as callers come
-/// back within a third of what they have left.
-const CALM_MILLIS: f64 = 3_000.0;
+/// Time constant of the refusal rate; longer than the delay before refused callers return.
+const AVERAGING_MILLIS: f64 = 3_000.0;
 
-/// Whether a caller was refused before.
+/// Whether a request was refused before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Visit {
-    /// It comes for the first time.
+    /// First submission.
     First,
-    /// It was refused before.
+    /// Submitted again after a refusal.
     Returned,
-    /// That can't be told.
+    /// Not enough information.
     Unknown,
 }
 
-/// How many requests were refused lately.
+/// Exponentially weighted refusal rate of a gateway.
 #[derive(Debug, Clone, Copy)]
-struct Calm {
-    since: Instant,
-    at: Instant,
+struct RefusalRate {
+    started_at: Instant,
+    updated_at: Instant,
     requests: f64,
     refused: f64,
 }
 
-impl Calm {
+impl RefusalRate {
     const fn new(now: Instant) -> Self {
         Self {
-            since: now,
-            at: now,
+            started_at: now,
+            updated_at: now,
             requests: 0.0,
             refused: 0.0,
         }
     }
 
     fn decay(&mut self, now: Instant) {
-        let left = (-(now.millis_since(self.at) as f64) / CALM_MILLIS).exp();
-        self.requests *= left;
-        self.refused *= left;
-        self.at = now;
+        let decay_factor = (-(now.millis_since(self.updated_at) as f64) / AVERAGING_MILLIS).exp();
+        self.requests *= decay_factor;
+        self.refused *= decay_factor;
+        self.updated_at = now;
     }
 
-    /// True where hardly anybody who comes can have been refused.
-    fn holds(&self, now: Instant) -> bool {
-        let has_run = now.millis_since(self.since) as f64 >= CALM_MILLIS;
-        has_run && self.refused <= CALM_SHARE * self.requests
+    /// Returns true if the recent refusal rate is low enough for learning.
+    fn is_low(&self, now: Instant) -> bool {
+        let is_long_enough = now.millis_since(self.started_at) as f64 >= AVERAGING_MILLIS;
+        is_long_enough && self.refused <= LOW_REFUSAL_RATE * self.requests
     }
 }
 
-/// Waits of the callers of one route at their first try.
+/// Patience samples of one route.
 #[derive(Debug, Clone, Default)]
-struct Waits {
-    kept: VecDeque<u32>,
-    /// True where those that are kept came while hardly anybody was refused.
-    is_calm: bool,
-    news: u32,
+struct PatienceSamples {
+    values: VecDeque<u32>,
+    /// True if the samples were taken at a low refusal rate.
+    is_undisturbed: bool,
+    new_count: u32,
     range: Option<RangeInclusive<u64>>,
 }
 
-impl Waits {
-    fn note(&mut self, wait: u64, is_calm: bool) {
-        if self.is_calm && !is_calm {
-            // What was learnt in calm moments stays.
+impl PatienceSamples {
+    fn note(&mut self, patience_millis: u64, is_undisturbed: bool) {
+        if self.is_undisturbed && !is_undisturbed {
+            // Samples taken under overload never replace those taken at a low refusal rate.
             return;
         }
-        if is_calm && !self.is_calm {
-            self.is_calm = true;
-            self.kept.clear();
+        if is_undisturbed && !self.is_undisturbed {
+            self.is_undisturbed = true;
+            self.values.clear();
         }
-        if self.kept.len() == MOST_WAITS {
-            self.kept.pop_front();
+        if self.values.len() == MAX_SAMPLES {
+            self.values.pop_front();
         }
-        self.kept.push_back(u32::try_from(wait).unwrap_or(u32::MAX));
-        self.news += 1;
-        if self.news >= RENEW_EVERY && self.kept.len() >= LEAST_WAITS {
-            self.news = 0;
-            self.range = match self.is_calm {
-                true => range(&self.kept),
-                false => peak(&self.kept),
+        self.values
+            .push_back(u32::try_from(patience_millis).unwrap_or(u32::MAX));
+        self.new_count += 1;
+        if self.new_count >= SAMPLES_PER_UPDATE && self.values.len() >= MIN_SAMPLES {
+            self.new_count = 0;
+            self.range = match self.is_undisturbed {
+                true => uniform_range(&self.values),
+                false => peak_range(&self.values),
             };
         }
     }
 
-    fn visit(&self, wait: u64) -> Visit {
+    fn classify(&self, patience_millis: u64) -> Visit {
         match &self.range {
-            Some(range) if wait + MARGIN_MILLIS < *range.start() => Visit::Returned,
+            Some(range) if patience_millis + TOLERANCE_MILLIS < *range.start() => Visit::Returned,
             Some(_) => Visit::First,
             None => Visit::Unknown,
         }
     }
 }
 
-/// Range from which `waits` are drawn. Its ends are told from a tenth, the half and nine tenths of the waits, so that
-/// a few callers who do come back do not move them.
-fn range(waits: &VecDeque<u32>) -> Option<RangeInclusive<u64>> {
-    let mut sorted: Vec<u32> = waits.iter().copied().collect();
+/// Estimates the range of uniformly drawn samples from their 10%, 50% and 90% quantiles; `None` if
+/// too many samples lie below it.
+fn uniform_range(samples: &VecDeque<u32>) -> Option<RangeInclusive<u64>> {
+    let mut sorted: Vec<u32> = samples.iter().copied().collect();
     sorted.sort_unstable();
-    let part = |share: f64| f64::from(sorted[((sorted.len() - 1) as f64 * share).round() as usize]);
-    let (low, half, high) = (part(0.1), part(0.5), part(0.9));
-    // From a tenth to the half lie four tenths of the range: one more is left below.
-    let least = (low - (half - low) / 4.0).max(0.0) as u64;
-    let most = (high + (high - half) / 4.0) as u64;
-    let below = |wait: &&u32| u64::from(**wait) + MARGIN_MILLIS < least;
+    let quantile =
+        |share: f64| f64::from(sorted[((sorted.len() - 1) as f64 * share).round() as usize]);
+    let (p10, p50, p90) = (quantile(0.1), quantile(0.5), quantile(0.9));
+    // The 10% and 50% quantiles span 40% of the range; the lower end is another 10% below.
+    let range_start = (p10 - (p50 - p10) / 4.0).max(0.0) as u64;
+    let range_end = (p90 + (p90 - p50) / 4.0) as u64;
+    let below =
+        |patience_millis: &&u32| u64::from(**patience_millis) + TOLERANCE_MILLIS < range_start;
     let below = sorted.iter().filter(below).count() as f64;
-    (below <= MOST_BELOW * sorted.len() as f64).then_some(least..=most)
+    (below <= MAX_SHARE_BELOW * sorted.len() as f64).then_some(range_start..=range_end)
 }
 
-/// Range of the equal waits of those that come first, where others who came back are among `waits`.
-fn peak(waits: &VecDeque<u32>) -> Option<RangeInclusive<u64>> {
-    let mut sorted: Vec<u64> = waits.iter().copied().map(u64::from).collect();
+/// Finds the peak of equal initial patience among samples that include returning callers.
+fn peak_range(samples: &VecDeque<u32>) -> Option<RangeInclusive<u64>> {
+    let mut sorted: Vec<u64> = samples.iter().copied().map(u64::from).collect();
     sorted.sort_unstable();
     let count = sorted.len() as f64;
-    let end = sorted[((count - 1.0) * UPPER_END) as usize];
-    let least = end.saturating_sub(MARGIN_MILLIS);
-    let below = sorted.partition_point(|wait| *wait < least);
-    let (others, first) = sorted.split_at(below);
-    let together = |from: usize| {
-        let to = others.partition_point(|wait| *wait <= others[from] + 2 * MARGIN_MILLIS);
-        to - from
+    let upper_end = sorted[((count - 1.0) * UPPER_END_QUANTILE) as usize];
+    let peak_start = upper_end.saturating_sub(TOLERANCE_MILLIS);
+    let below = sorted.partition_point(|patience_millis| *patience_millis < peak_start);
+    let (below_peak, in_peak) = sorted.split_at(below);
+    let window_count = |window_start: usize| {
+        let window_end = below_peak.partition_point(|patience_millis| {
+            *patience_millis <= below_peak[window_start] + 2 * TOLERANCE_MILLIS
+        });
+        window_end - window_start
     };
-    let most_together = (0..others.len()).map(together).max().unwrap_or_default();
-    let is_peak = first.len() as f64 >= PEAK_SHARE * count;
-    let is_alone = most_together as f64 <= MOST_TOGETHER * count;
-    (is_peak && is_alone).then_some(least..=end + MARGIN_MILLIS)
+    let max_window_count = (0..below_peak.len())
+        .map(window_count)
+        .max()
+        .unwrap_or_default();
+    let is_peak = in_peak.len() as f64 >= MIN_PEAK_SHARE * count;
+    let is_only_peak = max_window_count as f64 <= MAX_OTHER_PEAK_SHARE * count;
+    (is_peak && is_only_peak).then_some(peak_start..=upper_end + TOLERANCE_MILLIS)
 }
 
-/// What one gateway knows of who comes back.
+/// State of the detection at one gateway.
 #[derive(Debug, Clone)]
 pub struct Returns {
-    calm: Calm,
-    routes: HashMap<String, Waits>,
+    refusal_rate: RefusalRate,
+    routes: HashMap<String, PatienceSamples>,
 }
 
 impl Returns {
-    /// Nothing is known at the start.
+    /// Creates the state without any samples.
     pub fn new(now: Instant) -> Self {
         Self {
-            calm: Calm::new(now),
+            refusal_rate: RefusalRate::new(now),
             routes: HashMap::new(),
         }
     }
 
-    /// Takes a request of `route` whose caller says that it will wait `wait` milliseconds; none or 0 where it does not
-    /// say so. Tells whether the caller was refused before.
-    pub fn take(&mut self, route: &str, wait: Option<u64>, now: Instant) -> Visit {
-        self.calm.decay(now);
-        self.calm.requests += 1.0;
-        let Some(wait) = wait.filter(|wait| *wait > 0) else {
+    /// Classifies a request of `route` and learns from it. `patience_millis` is the caller's remaining
+    /// patience in milliseconds; `None` or 0 if not stated.
+    pub fn take(&mut self, route: &str, patience_millis: Option<u64>, now: Instant) -> Visit {
+        self.refusal_rate.decay(now);
+        self.refusal_rate.requests += 1.0;
+        let Some(patience_millis) = patience_millis.filter(|patience_millis| *patience_millis > 0)
+        else {
             return Visit::Unknown;
         };
-        let is_calm = self.calm.holds(now);
+        let is_undisturbed = self.refusal_rate.is_low(now);
         match self.routes.get_mut(route) {
-            Some(waits) => {
-                let visit = waits.visit(wait);
-                waits.note(wait, is_calm);
+            Some(samples) => {
+                let visit = samples.classify(patience_millis);
+                samples.note(patience_millis, is_undisturbed);
                 visit
             }
             None => {
-                if self.routes.len() < MOST_ROUTES {
-                    let waits = self.routes.entry(route.to_owned()).or_default();
-                    waits.note(wait, is_calm);
+                if self.routes.len() < MAX_ROUTES {
+                    let samples = self.routes.entry(route.to_owned()).or_default();
+                    samples.note(patience_millis, is_undisturbed);
                 }
                 Visit::Unknown
             }
         }
     }
 
-    /// Notes that a request was refused.
+    /// Records a refused request.
     pub fn note_refused(&mut self, now: Instant) {
-        self.calm.decay(now);
-        self.calm.refused += 1.0;
+        self.refusal_rate.decay(now);
+        self.refusal_rate.refused += 1.0;
     }
 
-    /// Milliseconds after which a caller of `route` that comes back can be told from new ones, where that is known.
+    /// Returns the shortest retry delay after which a caller of `route` is recognized as returning;
+    /// `None` if no range is known.
     pub fn told_apart_millis(&self, route: &str) -> Option<u64> {
         let range = self.routes.get(route)?.range.as_ref()?;
-        Some(range.end() - range.start() + 2 * MARGIN_MILLIS)
+        Some(range.end() - range.start() + 2 * TOLERANCE_MILLIS)
     }
 }
--- a/crates/gingerpier_serving/src/sizes.rs
+++ b/crates/gingerpier_serving/src/sizes.rs
@@ -1,7 +1,6 @@
-//! How large requests are among those of their route.
+//! Classification of prompts by their size relative to other requests of the same route.
 //!
-//! Logs and metrics tell by it who is refused. There are four sizes, not one for each count of tokens, so that what is kept
-//! and told is bounded.
+//! Logs and metrics use the size class as a label, which bounds the number of label values.
 //!
 //! ```
 //! use gingerpier_serving::sizes::{Band, Sizes};
@@ -15,13 +14,13 @@
 
 use {displaydoc::Display, std::collections::HashMap};
 
-/// Requests over which a route's mean is taken, the latest counting most.
-const COUNTED: f64 = 200.0;
+/// Upper bound of the number of requests that a route's mean is computed over.
+const MAX_COUNT: f64 = 200.0;
 
-/// Routes that are kept, of some 100 bytes each: routes come and go with configurations.
-const MOST_ROUTES: usize = 256;
+/// Limit of the routes kept, at about 100 bytes each.
+const MAX_ROUTES: usize = 256;
 
-/// Size of a prompt, as a part of the mean one of its route.
+/// Size class of a prompt.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Band {
     /// small
@@ -35,22 +34,22 @@
 }
 
 impl Band {
-    /// Least part of the mean prompt from which on one is usual, large and among the largest: where lengths fall off at a
-    /// steady rate these are six, three and one in ten requests.
-    const FROM: [f64; 3] = [0.5, 1.2, 2.3];
+    /// Lower bounds of the usual, large and largest classes, as multiples of the route's mean
+    /// prompt.
+    const LOWER_BOUNDS: [f64; 3] = [0.5, 1.2, 2.3];
 
-    fn of(part: f64) -> Self {
-        let [usual, large, largest] = Self::FROM;
-        match part {
-            part if part < usual => Self::Small,
-            part if part < large => Self::Usual,
-            part if part < largest => Self::Large,
+    fn from_ratio(ratio: f64) -> Self {
+        let [usual, large, largest] = Self::LOWER_BOUNDS;
+        match ratio {
+            ratio if ratio < usual => Self::Small,
+            ratio if ratio < large => Self::Usual,
+            ratio if ratio < largest => Self::Large,
             _ => Self::Largest,
         }
     }
 }
 
-/// Mean prompts of routes.
+/// Mean prompt length of each route.
 #[derive(Debug, Clone, Default)]
 pub struct Sizes {
     routes: HashMap<String, Mean>,
@@ -63,12 +62,13 @@
 }
 
 impl Sizes {
-    /// True where `route` would be one too many, so that all are to be forgotten first.
+    /// Returns true if adding `route` exceeds the limit, so that the caller must clear the state
+    /// first.
     pub fn is_full_for(&self, route: &str) -> bool {
-        self.routes.len() >= MOST_ROUTES && !self.routes.contains_key(route)
+        self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(route)
     }
 
-    /// Notes the prompt of a request of `route`; tells how large it is, where it has one.
+    /// Records a prompt and returns its size class; `None` without a prompt.
     pub fn note(&mut self, route: &str, tokens: u64) -> Option<Band> {
         if tokens == 0 {
             return None;
@@ -77,8 +77,8 @@
             self.routes.insert(route.to_owned(), Mean::default());
         }
         let mean = self.routes.get_mut(route)?;
-        mean.count = (mean.count + 1.0).min(COUNTED);
+        mean.count = (mean.count + 1.0).min(MAX_COUNT);
         mean.tokens += (tokens as f64 - mean.tokens) / mean.count;
-        Some(Band::of(tokens as f64 / mean.tokens))
+        Some(Band::from_ratio(tokens as f64 / mean.tokens))
     }
 }
--- a/crates/gingerpier_serving/src/warmth.rs
+++ b/crates/gingerpier_serving/src/warmth.rs
@@ -1,12 +1,13 @@
-//! How fast gateways send to engines that are cold.
+//! Rate limits for requests to cold engines.
 //!
-//! An engine that has just started, or lost what it had warmed up, bears only some requests a second and ends under many
-//! more. All gateways together must keep to that, without a message a request. So a few gateways own each cold engine, in
-//! a rendezvous order over those that live, and each owner leaves an interval between its requests. Others pass the engine
-//! over. A gateway that does not know the others yet owns none.
+//! An engine that has just started or lost its caches only sustains a few requests per second, and
+//! crashes under many more. All gateways together must stay below that rate without communication
+//! per request. Rendezvous hashing over the live gateways therefore assigns a few owners to each
+//! cold engine, and each owner keeps a minimum interval between its requests. Other gateways skip
+//! the engine. A gateway that doesn't know the others yet owns none.
 //!
-//! An engine that could not be reached, and one of a zone that was emptied, may be cold without having told so. Until its
-//! next entry it is sent at most the share of one gateway among all.
+//! An engine that was unreachable or whose zone was evacuated may be cold without having reported
+//! it. Until its next entry, each gateway limits itself to an equal share of the rate.
 //!
 //! ```
 //! use gingerpier_serving::warmth::Terms;
@@ -21,152 +22,156 @@
 
 use gingerpier_base::Instant;
 
-/// Part of the bound that owners use up: the rest is for gateways that disagree on who owns an engine for a while.
-const SAFE_PART: f64 = 0.8;
+/// Fraction of the limit that owners use; the rest covers gateways that disagree on the owners for
+/// a while.
+const OWNER_SHARE: f64 = 0.8;
 
-/// Milliseconds from a failure to reach an engine within which an entry may have been written before it.
-const ENTRY_TRANSIT_MILLIS: u64 = 1_500;
+/// Time after a connection failure in which an entry may still be from before the failure.
+const STALE_ENTRY_MILLIS: u64 = 1_500;
 
-/// Milliseconds after which an engine counts as warm although no entry has told so: the store may be away.
-const DOUBT_MILLIS: u64 = 6_000;
+/// Time after which an engine counts as warm without a new entry, as the store may be unavailable.
+const MAX_DOUBTFUL_MILLIS: u64 = 6_000;
 
-/// What a cold engine bears, as operators give it.
+/// Configured request limits of cold engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
-    /// Requests a second that it bears; 0 where engines of the service are never cold.
+    /// Sustained requests per second; 0 if engines of the service are never cold.
     pub per_second: f64,
-    /// Times as many that it may get in a second.
+    /// Factor by which the rate may be exceeded within one second.
     pub overshoot: f64,
-    /// Requests that it may get in a second beyond that.
+    /// Additional requests within one second.
     pub allowance: f64,
 }
 
 impl Terms {
-    /// Terms of engines that are never cold.
+    /// Limits of engines that are never cold.
     pub const NEVER: Self = Self {
         per_second: 0.0,
         overshoot: 1.0,
         allowance: 0.0,
     };
 
-    /// True where engines may be cold.
+    /// True if engines can be cold.
     pub fn may_be_cold(&self) -> bool {
         self.per_second > 0.0
     }
 
-    /// Requests of all gateways that it may get in one second.
+    /// Limit of the requests of all gateways within one second.
     pub fn max_in_a_second(&self) -> f64 {
         self.per_second * self.overshoot + self.allowance
     }
 
-    /// Gateways of `gateways` that own one cold engine.
+    /// Number of owners of a cold engine among `gateways`.
     pub fn owner_count(&self, gateways: u32) -> usize {
-        let spare = self.max_in_a_second() * SAFE_PART - self.per_second;
-        (spare as usize).min(gateways as usize).max(1)
+        let headroom = self.max_in_a_second() * OWNER_SHARE - self.per_second;
+        (headroom as usize).min(gateways as usize).max(1)
     }
 
-    /// Milliseconds between two requests of one owner, where there are so many `gateways`.
+    /// Minimum interval between two requests of one owner among `gateways`, in milliseconds.
     pub fn owner_interval_millis(&self, gateways: u32) -> f64 {
         let owners = self.owner_count(gateways) as f64;
-        let most = self.max_in_a_second() * SAFE_PART - owners;
-        // A bound of few requests is kept by one owner that sends less than one a second.
-        let rate = most
+        let max_rate = self.max_in_a_second() * OWNER_SHARE - owners;
+        // With a limit of few requests, a single owner sends less than one per second.
+        let rate = max_rate
             .min(self.per_second)
-            .max(self.max_in_a_second() / 2.0 * SAFE_PART);
+            .max(self.max_in_a_second() / 2.0 * OWNER_SHARE);
         owners * 1_000.0 / rate.max(f64::MIN_POSITIVE)
     }
 
-    /// Milliseconds between two requests of one of `gateways` to an engine that may be cold.
+    /// Minimum interval between two requests of any of `gateways` to an engine that may be cold, in
+    /// milliseconds.
     pub fn share_interval_millis(&self, gateways: u32) -> f64 {
-        let most = (self.max_in_a_second() * SAFE_PART).max(f64::MIN_POSITIVE);
-        f64::from(gateways.max(1)) * 1_000.0 / most
+        let max_rate = (self.max_in_a_second() * OWNER_SHARE).max(f64::MIN_POSITIVE);
+        f64::from(gateways.max(1)) * 1_000.0 / max_rate
     }
 }
 
-/// How warm an engine is.
+/// Temperature of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-enum Degree {
-    /// Warm.
+enum Temperature {
+    /// Accepts requests without a limit.
     #[default]
     Warm,
-    /// Not known until its next entry, or until then.
+    /// Unknown until the next entry or a timeout.
     Doubtful {
-        /// When it came into doubt.
+        /// Time of the event that may have made it cold.
         since: Instant,
     },
-    /// Cold until then.
+    /// Cold until this time.
     Cold(Instant),
 }
 
-/// What is known of how warm an engine is.
+/// Warm-up state of one engine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Warmth {
-    degree: Degree,
-    /// True where this gateway is among those that send to it while it is cold.
+    temperature: Temperature,
+    /// True if this gateway is one of the owners.
     is_owned: bool,
-    sent: Option<Instant>,
+    last_sent_at: Option<Instant>,
 }
 
 impl Warmth {
-    /// Warmth of an engine whose first entry tells that it is cold for `cold_millis` more.
+    /// Creates the state from an engine's first entry, with its remaining warm-up time.
     pub fn listed(cold_millis: u64, now: Instant) -> Self {
         let mut warmth = Self::default();
         warmth.note_told(cold_millis, now);
         warmth
     }
 
-    /// Notes an entry that tells that the engine is cold for `cold_millis` more.
+    /// Updates the state from an entry with the remaining warm-up time.
     pub fn note_told(&mut self, cold_millis: u64, now: Instant) {
         if cold_millis > 0 {
-            self.degree = Degree::Cold(now.after_millis(cold_millis));
+            self.temperature = Temperature::Cold(now.after_millis(cold_millis));
             return;
         }
-        if let Degree::Doubtful { since } = self.degree
-            && now.millis_since(since) < ENTRY_TRANSIT_MILLIS
+        if let Temperature::Doubtful { since } = self.temperature
+            && now.millis_since(since) < STALE_ENTRY_MILLIS
         {
             return;
         }
-        self.degree = Degree::Warm;
+        self.temperature = Temperature::Warm;
     }
 
-    /// Notes that the engine may have turned cold.
+    /// Records an event after which the engine may be cold.
     pub fn note_doubt(&mut self, now: Instant) {
         if !self.is_cold(now) {
-            self.degree = Degree::Doubtful { since: now };
+            self.temperature = Temperature::Doubtful { since: now };
         }
     }
 
-    /// Notes a request that is sent there.
+    /// Records a request as sent.
     pub const fn note_sent(&mut self, now: Instant) {
-        self.sent = Some(now);
+        self.last_sent_at = Some(now);
     }
 
-    /// Notes whether this gateway is among the owners.
+    /// Sets whether this gateway is one of the owners.
     pub const fn note_owned(&mut self, is_owned: bool) {
         self.is_owned = is_owned;
     }
 
-    /// True while it is known to be cold.
+    /// True while the engine has reported itself as cold.
     pub fn is_cold(&self, now: Instant) -> bool {
-        matches!(self.degree, Degree::Cold(until) if !until.has_passed(now))
+        matches!(self.temperature, Temperature::Cold(until) if !until.has_passed(now))
     }
 
-    /// True where this gateway, one of `gateways`, may send a request there now.
+    /// Returns true if this gateway, one of `gateways`, may send a request now.
     pub fn admits(&self, terms: &Terms, gateways: u32, now: Instant) -> bool {
         if !terms.may_be_cold() {
             return true;
         }
-        let interval = match self.degree {
-            Degree::Warm => return true,
-            Degree::Cold(until) if until.has_passed(now) => return true,
-            Degree::Cold(_) if !self.is_owned => return false,
-            Degree::Cold(_) => terms.owner_interval_millis(gateways),
-            Degree::Doubtful { since } if since.after_millis(DOUBT_MILLIS).has_passed(now) => {
+        let interval = match self.temperature {
+            Temperature::Warm => return true,
+            Temperature::Cold(until) if until.has_passed(now) => return true,
+            Temperature::Cold(_) if !self.is_owned => return false,
+            Temperature::Cold(_) => terms.owner_interval_millis(gateways),
+            Temperature::Doubtful { since }
+                if since.after_millis(MAX_DOUBTFUL_MILLIS).has_passed(now) =>
+            {
                 return true;
             }
-            Degree::Doubtful { .. } => terms.share_interval_millis(gateways),
+            Temperature::Doubtful { .. } => terms.share_interval_millis(gateways),
         };
-        self.sent
-            .is_none_or(|sent| now.millis_since(sent) as f64 >= interval)
+        self.last_sent_at
+            .is_none_or(|last_sent_at| now.millis_since(last_sent_at) as f64 >= interval)
     }
 }
--- a/crates/gingerpier_serving/tests/decisions.rs
+++ b/crates/gingerpier_serving/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions, each with the failure that it is there for.
+//! Tests of admission, retries, prediction and related decisions.
 
 use {
     gingerpier_base::{Instant, order},
@@ -150,7 +150,7 @@
     );
 }
 
-/// Whether a request is refused for the queue, for prompts of others or for its own could not be told from a refusal.
+/// Guards against refusals whose cause can't be read from the logged prediction.
 #[test]
 fn a_refusal_tells_what_its_prediction_is_made_of() {
     let (model, tried) = (model(), []);
@@ -175,8 +175,7 @@
     assert_eq!(large.bound, 500.0 * precedence::TARGET_SHARE);
 }
 
-/// A prompt that takes longer than its target to read was refused by idle engines, again and again, though its answer is
-/// worth something also when it is late.
+/// Guards against permanent refusal of a prompt that misses its target even on an idle engine.
 #[test]
 fn an_idle_engine_takes_a_request_that_is_late_anywhere() {
     let (model, tried) = (model(), []);
@@ -192,8 +191,7 @@
     assert_eq!(choose(&fleet), None, "it would only be later still");
 }
 
-/// Engines that work at a third of their speed (`pace` 3 in their reports) take three times as long for a prompt also when they
-/// are idle, which was more than any bound for a large one: 503 after 503, with nothing to wait for.
+/// Guards against permanent refusal of large prompts when all engines are slow.
 #[test]
 fn an_idle_engine_that_is_slow_takes_a_large_request() {
     let (model, tried) = (model(), []);
@@ -213,8 +211,7 @@
     assert_eq!(choose(&fleet), None, "it would only be later still");
 }
 
-/// With 40 gateways a quarter of the engines is drawn for a request. Where few engines hold weights, mostly none of those is
-/// drawn, and callers that came back were refused at idle ones: 0.75 of what is left to them is less than an idle engine takes.
+/// Guards against refusal by idle engines when no engine of the sampled subset is eligible.
 #[test]
 fn a_caller_that_came_back_is_taken_by_an_idle_engine_where_none_of_the_drawn_ones_could_run_it() {
     let (model, tried) = (model(), []);
@@ -248,7 +245,7 @@
         ..record("e0", "z")
     };
     fleet.list(draining, Revision(2));
-    // An older word that arrives late must not open it again.
+    // A stale entry must not reopen the engine.
     fleet.list(record("e0", "z"), Revision(3));
     assert!(!fleet.engine(keys[0]).is_open(at(0)));
 }
@@ -256,7 +253,7 @@
 #[test]
 fn of_the_engines_at_one_address_only_the_one_listed_last_is_there() {
     let mut fleet = Fleet::default();
-    // The keys of the store are not in the order of time, and those that ended stay for a while.
+    // Store keys aren't ordered by time, and entries of stopped engines remain for a while.
     let new = fleet.list(record("a-new", "z"), Revision(9));
     let old = fleet.list(record("b-old", "z"), Revision(5));
     let address = "10.0.0.1:80".parse().expect("an address");
@@ -431,7 +428,7 @@
         once.after(Failure::Unknown, at(2_000), || true),
         Next::TimeOut
     );
-    // A later proof about another attempt does not take back that the first may have run.
+    // Confirmation that a later attempt didn't run doesn't apply to the first one.
     assert_eq!(once.after(Failure::NotRun, at(0), || true), Next::Fail);
 }
 
@@ -552,7 +549,7 @@
     let news = mirror.replace(vec![item("b", 2)], Revision(5));
     assert_eq!(news.len(), 1);
     assert_eq!((news[0].key.as_str(), news[0].value.is_none()), ("a", true));
-    // An older copy that still has it changes nothing.
+    // An older snapshot that still contains the key changes nothing.
     assert!(mirror.replace(vec![item("a", 1)], Revision(4)).is_empty());
     assert!(mirror.apply(vec![item("a", 1)], Revision(1)).is_empty());
 }
@@ -758,7 +755,7 @@
         "a part of the target, until it is known"
     );
     for _ in 0..50 {
-        // Twice as long as alone, beside as many others as it has slots.
+        // Twice the unshared time, with as many concurrent requests as slots.
         fleet.engine_mut(keys[0]).note_work(80.0, 2.0);
     }
     assert!((predicted(&fleet) - 40.0).abs() < 1.0);
@@ -808,7 +805,8 @@
     assert_eq!(times(Tenure::Until(at(5_000))), [450, 650]);
 }
 
-/// How many of 64 requests, of gateways that know the same, go to the one free engine of 64; the others run two.
+/// Returns how many of 64 requests from gateways with the same view are sent to the one idle engine
+/// of 64.
 fn sent_to_the_free_one(gateways: u32) -> usize {
     let (mut fleet, keys) = fleet(64);
     for (place, key) in keys.iter().enumerate() {
@@ -828,9 +826,9 @@
 
 #[test]
 fn many_gateways_that_know_the_same_do_not_all_choose_the_best_engine() {
-    // A quarter of the requests looks at it: 16, and three standard deviations of 3.5.
+    // The expected number is 16, with a standard deviation of 3.5.
     let sent = sent_to_the_free_one(40);
     assert!(sent <= 26, "{sent} of 64");
-    // Few gateways hear engines often, and take the best; some draw more than the others are slower by.
+    // With few gateways, most requests choose the idle engine.
     assert!(sent_to_the_free_one(6) > 26);
 }
--- a/crates/gingerpier_serving/tests/evenness.rs
+++ b/crates/gingerpier_serving/tests/evenness.rs
@@ -1,5 +1,5 @@
-//! Who is taken where places are short. Small requests filled each engine up to what they could wait, and large ones, which need
-//! more of their target for themselves, were refused at engines that were less full.
+//! Tests that under overload, requests with little slack aren't always refused in favor of those
+//! with much.
 
 use {
     gingerpier_base::Instant,
@@ -37,7 +37,7 @@
     }
 }
 
-/// An engine with so many requests.
+/// Creates a fleet of one engine with `active` running requests.
 fn fleet(active: u32) -> Fleet {
     let report = Report {
         held: vec![Held {
@@ -66,7 +66,7 @@
     fleet
 }
 
-/// Most requests that may run at an engine which takes one more with `prompt_tokens` and that target.
+/// Returns the highest number of running requests at which the engine still admits a request.
 fn most_beside(even: Even, target_share: f64, prompt_tokens: u64, target_millis: u64) -> u32 {
     let model = model();
     let demand = Demand {
@@ -121,7 +121,8 @@
     assert!(alike[0] >= 16, "{alike:?}: all slots can be filled");
 }
 
-/// Precedence after so many first tries in a second, of which every `refused`th was refused, and all could wait `wait`.
+/// Creates the state after 100 first attempts in one second, of which every `refused`th was
+/// refused.
 fn precedence(refused: u64, wait: impl Fn(u64) -> f64) -> Precedence {
     let mut precedence = Precedence::default();
     for step in 0..100 {
@@ -143,7 +144,7 @@
     assert!(short.even(at(4_000)).share < 0.3, "3 s without a refusal");
 }
 
-/// Otherwise engines would stand half empty for the sake of a few.
+/// Guards against idle capacity caused by a few requests without slack.
 #[test]
 fn a_few_huge_requests_do_not_keep_the_others_out() {
     let wait = |step| if step % 20 == 0 { -2_000.0 } else { 300.0 };
@@ -159,7 +160,7 @@
         waits.note(300.0, at(step));
     }
     assert_eq!(waits.common_millis(), None);
-    // What came a while ago counts little.
+    // Samples older than the time constant have little weight.
     for step in 0..100 {
         waits.note(300.0, at(10 + step));
     }
--- a/crates/gingerpier_serving/tests/incarnations.rs
+++ b/crates/gingerpier_serving/tests/incarnations.rs
@@ -1,9 +1,7 @@
-//! Engines that start again under the id that they had.
+//! Tests of engines that restart under the same id.
 //!
-//! An engine that had said that it leaves started again under its id and was never used again, by anyone: leaving was a
-//! state of the id. What was known of the one before (load, failures, weights, last report) went on as if it were the same,
-//! though the new one holds nothing. An incarnation is the id with the moment of its start, and words of two incarnations
-//! come in any order, late and twice, by entries, reports and digests.
+//! Guards against state of a former incarnation (draining, load, failures, weights) that is applied
+//! to the new one, with messages that arrive late, repeatedly and in any order.
 
 use {
     gingerpier_base::Instant,
@@ -74,7 +72,7 @@
     let key = fleet.list(record(None, State::Draining, 1), Revision(1));
     fleet.list(record(None, State::Ready, 1), Revision(2));
     assert!(!fleet.engine(key).is_open(at(0)), "leaving is one-way");
-    // One that begins to tell it is the same.
+    // An engine that begins to report its start time is the same incarnation.
     assert_eq!(fleet.incarnation(address(), Some(Born(5))), Some(key));
     assert_eq!(fleet.incarnation(address(), None), Some(key));
     assert_eq!(fleet.incarnation(address(), Some(Born(4))), None);
@@ -97,7 +95,7 @@
     assert_eq!(engine.version_of("m", at(10)), None, "it holds nothing");
     assert_eq!(engine.load.in_flight, 0);
     assert!(!engine.is_suspect());
-    // The request that was there ends, and is none of the new one's.
+    // The end of a former request isn't attributed to the new incarnation.
     fleet.engine_mut(old).note_end(900, true);
     assert_eq!(fleet.engine(new).load.in_flight, 0);
 }
@@ -111,10 +109,10 @@
         .note_report(report(Some(1_000), 1), at(0));
     fleet.list(record(Some(500), State::Ready, 2), Revision(2));
     assert_eq!(fleet.find(ID), Some(old), "it may be late word");
-    // The known one still speaks, so the entry was late.
+    // The known incarnation still reports, so the entry was stale.
     assert!(fleet.settle_doubts(at(100)).is_empty());
     assert!(fleet.settle_doubts(at(60_000)).is_empty());
-    // It says nothing any more.
+    // The known incarnation no longer reports.
     fleet.list(record(Some(500), State::Ready, 2), Revision(3));
     assert!(fleet.settle_doubts(at(60_000)).is_empty());
     assert_eq!(fleet.settle_doubts(at(75_000)), [ID]);
@@ -136,12 +134,12 @@
     fleet.list(other, Revision(2));
     assert_eq!(fleet.at_address(address()), Some(key));
     assert!(fleet.engine(key).is_open(at(0)));
-    // Once it is named, the one that was listed last is there.
+    // Once the other service is configured, the engine listed last is the current one.
     fleet.set_services(["s".to_owned(), "unknown".to_owned()].into_iter());
     assert!(!fleet.engine(key).is_open(at(0)));
 }
 
-/// A word about the engine: which incarnation it is of, and how it comes.
+/// Message about the engine and the index of its incarnation.
 #[derive(Debug, Clone, Copy)]
 enum Word {
     Entry(usize),
@@ -161,8 +159,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Three incarnations, of which the first two leave. Whatever comes of them, in whatever order: once a word of the
-    /// last one came, no word of those before closes it, opens it on weights that it does not hold, or counts as its own.
+    /// Once the last incarnation is known, messages of former ones must not close it, change its
+    /// weights or count as its own. The first two incarnations drain.
     #[test]
     fn late_words_of_those_before_change_nothing(words in prop::collection::vec(word(), 1..40)) {
         let births = [100, 200, 300];
@@ -172,7 +170,7 @@
         let mut revision = 1;
         for (step, word) in words.into_iter().enumerate() {
             let now = at(step as u64 * 10);
-            // The versions that they hold tell them apart.
+            // Each incarnation holds a different version.
             let version = |of: usize| of as u64 + 1;
             let of = match word {
                 Word::Entry(of) => {
--- a/crates/gingerpier_serving/tests/places.rs
+++ b/crates/gingerpier_serving/tests/places.rs
@@ -1,8 +1,8 @@
-//! Where requests may run, with the truth known: regions, zones that are emptied, engines that are cold.
+//! Simulation tests of region restrictions, zone evacuation and cold engines.
 //!
-//! Gateways hear of changes late, each at another moment, and one that was cut off hears nothing for seconds. Whatever they
-//! hear and when, no request runs outside its regions, none at a zone that was emptied long ago, and a cold engine gets no
-//! more in any second than it may.
+//! Gateways receive changes late and at different times. Guards against requests outside their
+//! regions, requests to zones that were evacuated long ago, and more requests per second to a cold
+//! engine than its limit.
 
 use {
     gingerpier_base::{Instant, order},
@@ -28,16 +28,16 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const REGION_NAMES: [&str; 3] = ["ra", "rb", "rc"];
 
-/// Engines of each zone.
+/// Number of engines per zone.
 const ENGINES: usize = 3;
 
-/// Most milliseconds after which a gateway has heard of a change: half of the least bound that operators give.
+/// Longest delay until a gateway receives a change; half of the shortest bound that operators set.
 const HEARD_MILLIS: u64 = 2_000;
 
-/// Milliseconds of a played day.
+/// Duration of a simulation.
 const DAY_MILLIS: u64 = 12_000;
 
-/// Milliseconds of a step.
+/// Duration of a simulation step.
 const STEP_MILLIS: u64 = 5;
 
 fn regions() -> Regions {
@@ -192,7 +192,7 @@
     );
     warmth.note_owned(false);
     assert!(warmth.admits(&terms, 9, at(2_000)));
-    // One that could not be reached, until an entry that was written after that.
+    // Doubtful after a connection failure, until an entry that was written later.
     warmth.note_doubt(at(3_000));
     warmth.note_sent(at(3_000));
     assert!(!warmth.admits(&terms, 100, at(3_500)));
@@ -203,7 +203,7 @@
     );
     warmth.note_told(0, at(4_500));
     assert!(warmth.admits(&terms, 100, at(4_500)));
-    // Nobody tells while the store is away.
+    // No entries arrive while the store is unavailable.
     warmth.note_doubt(at(5_000));
     warmth.note_sent(at(10_900));
     assert!(!warmth.admits(&terms, 100, at(10_950)));
@@ -211,33 +211,33 @@
 }
 
 proptest! {
-    /// Owners keep below the bound in any second, whatever operators give.
+    /// Guards against limits that the owners exceed together.
     #[test]
     fn owners_keep_below_any_bound(gateways in 1..2_000_u32, per_second in 0.5..200.0_f64, overshoot in 1.0..3.0_f64, allowance in 0.0..20.0_f64) {
         let terms = Terms { per_second, overshoot, allowance };
         let owners = terms.owner_count(gateways) as f64;
         let each = (1_000.0 / terms.owner_interval_millis(gateways)).floor() + 1.0;
-        // One request in a second is the least there is.
+        // One request per second is the lowest possible number.
         prop_assert!(owners * each <= terms.max_in_a_second().max(1.0), "{owners} owners, {each} each: {terms:?}");
         prop_assert!(owners / (terms.owner_interval_millis(gateways) / 1_000.0) >= per_second.min(terms.max_in_a_second()) * 0.3);
     }
 }
 
-/// A change that gateways hear of, each at another moment.
+/// Change that each gateway receives at a different time.
 #[derive(Debug, Clone, Copy)]
 enum Change {
-    /// An engine is listed as cold for so many milliseconds from then on.
+    /// An engine's entry reports it as cold until this time.
     Listed {
         zone: usize,
         number: usize,
         cold_until: u64,
     },
-    /// A zone is emptied, or taken back.
+    /// A zone is evacuated or available again.
     Evacuated { zone: usize, is_evacuated: bool },
 }
 
 impl Change {
-    /// What it is about.
+    /// Identifies the engine or zone that changes.
     const fn key(self) -> (usize, Option<usize>) {
         match self {
             Self::Listed { zone, number, .. } => (zone, Some(number)),
@@ -246,33 +246,33 @@
     }
 }
 
-/// How gateways send to cold engines.
+/// How gateways send requests to cold engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Way {
-    /// The product's.
+    /// As implemented, only through owners.
     Owners,
-    /// As if engines were never cold.
+    /// Without any limit.
     Unpaced,
-    /// As if each gateway owned each cold engine.
+    /// With every gateway as an owner of every engine.
     AllOwn,
 }
 
 struct Gateway {
     fleet: Fleet,
     exchange: Exchange,
-    /// Changes that are on their way, by the moment of their arrival.
+    /// Changes in transit, with their arrival time and revision.
     coming: Vec<(u64, u32, Change)>,
-    /// Revision of the last change of each engine, and of each zone.
+    /// Revision of the latest change to each engine and zone.
     newest: HashMap<(usize, Option<usize>), u32>,
 }
 
-/// What came of a day.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     abroad: usize,
     at_emptied: usize,
     most_in_a_second: usize,
-    /// Requests that cold engines got, and milliseconds of theirs, once all knew of it.
+    /// Number of requests to cold engines and the total cold time, each after all gateways knew.
     cold_requests: u32,
     cold_millis: u64,
     refused: usize,
@@ -283,14 +283,15 @@
     terms: Terms,
     way: Way,
     gateways: Vec<Gateway>,
-    /// Until when each engine is cold, and when each zone was emptied.
+    /// Time until which each engine is cold and since when, and time at which each zone was
+    /// evacuated.
     cold_until: [[u64; ENGINES]; ZONES.len()],
     cold_since: [[u64; ENGINES]; ZONES.len()],
     emptied: [Option<u64>; ZONES.len()],
     arrivals: Vec<(usize, usize, u64)>,
     outcome: Outcome,
     revision: u32,
-    /// Requests that come in one step.
+    /// Number of requests per step.
     per_step: f64,
 }
 
@@ -334,7 +335,7 @@
         }
     }
 
-    /// Tells all gateways of a change, each at another moment; a third of them is cut off and hears late.
+    /// Sends a change to all gateways with random delays; a third of them receives it late.
     fn tell(&mut self, now: u64, change: Change) {
         self.revision += 1;
         for gateway in &mut self.gateways {
@@ -383,7 +384,7 @@
         self.outcome
     }
 
-    /// Zones come back cold together, engines turn cold, zones are emptied and taken back.
+    /// Randomly makes a zone or an engine cold, evacuates a zone or makes it available again.
     fn change(&mut self, now: u64) {
         if now <= HEARD_MILLIS || self.draw.u64(..1_500 / STEP_MILLIS) > 0 {
             return;
@@ -396,7 +397,7 @@
                 let is_evacuated = self.emptied[zone].is_none();
                 self.emptied[zone] = is_evacuated.then_some(now);
                 if !is_evacuated {
-                    // Cold before it is taken back, as operators say.
+                    // Engines of an evacuated zone are cold before the zone is available again.
                     self.turn_cold(now, zone, ENGINES);
                 }
                 self.tell(now, Change::Evacuated { zone, is_evacuated });
@@ -444,7 +445,7 @@
             gateway.coming = coming;
             arrived.sort_by_key(|(_, revision, _)| *revision);
             for (_, revision, change) in arrived {
-                // As the mirror does.
+                // Ignores stale revisions, as the mirror does.
                 let newest = gateway.newest.entry(change.key()).or_default();
                 if *newest > revision {
                     continue;
@@ -523,13 +524,13 @@
         }
     }
 
-    /// True where an engine is cold and all have heard of it: before that, one in use goes on being used.
+    /// Returns true if an engine is cold and all gateways know.
     fn is_known_cold(&self, zone: usize, number: usize, now: u64) -> bool {
         let is_known = now > self.cold_since[zone][number] + HEARD_MILLIS;
         is_known && now < self.cold_until[zone][number]
     }
 
-    /// Most requests that a cold engine got in a second.
+    /// Returns the highest number of requests that a cold engine received within one second.
     fn most_in_a_second(&self) -> usize {
         let mut by_engine: HashMap<(usize, usize), Vec<u64>> = HashMap::new();
         for (zone, number, sent) in &self.arrivals {
@@ -549,7 +550,7 @@
     }
 }
 
-/// Days played of the product's way; of the others a quarter.
+/// Number of simulations as implemented; the variants run a quarter of them.
 const SEEDS: u64 = 200;
 
 #[test]
@@ -596,14 +597,14 @@
     let (mut borne, mut sent) = (0.0, 0);
     for seed in 0..SEEDS {
         let mut day = Day::new(seed, Way::Owners);
-        // Enough comes for each engine.
+        // Enough requests to use every engine.
         day.per_step = 3.0;
         let per_second = day.terms.per_second;
         let outcome = day.play();
         borne += per_second * outcome.cold_millis as f64 / 1_000.0;
         sent += outcome.cold_requests;
     }
-    // Half a second passes until an owner knows that it is one, and intervals start when requests come.
+    // Owners learn of their role up to half a second late, and intervals start with a request.
     let part = f64::from(sent) / borne;
     println!("sent {sent} of {borne:.0} that cold engines bear");
     assert!(part > 0.5, "{part}");
--- a/crates/gingerpier_serving/tests/returns.rs
+++ b/crates/gingerpier_serving/tests/returns.rs
@@ -1,4 +1,4 @@
-//! Who comes back, by how long callers wait.
+//! Tests of the detection of returning callers.
 
 use {
     gingerpier_base::Instant,
@@ -12,12 +12,12 @@
     Instant::from_millis(100_000 + millis)
 }
 
-/// A number from 0 to 999, another for each `step`.
+/// Returns a pseudo-random number from 0 to 999.
 const fn drawn(step: u64) -> u64 {
     gingerpier_base::order::mix(step) % 1_000
 }
 
-/// A gateway to which a caller came every 20 ms for `millis`, each with the wait that `wait` gives it.
+/// Creates a detector that has seen one request every 20 ms for `millis`, without refusals.
 fn learnt(millis: u64, wait: impl Fn(u64) -> u64) -> Returns {
     let mut returns = Returns::new(at(0));
     for step in 0..millis / 20 {
@@ -88,8 +88,8 @@
     }
 }
 
-/// A gateway before more callers than engines can run, from its start on: a third of them was refused, and comes back
-/// after 0.6 to 1.6 s.
+/// Creates a detector under overload from its start: a third of the requests is refused and
+/// returns after 0.6 to 1.6 s.
 fn learnt_in_overload(wait: impl Fn(u64) -> u64) -> Returns {
     let mut returns = Returns::new(at(0));
     for step in 0..600 {
@@ -106,9 +106,8 @@
     returns
 }
 
-/// After everything had lost power, gateways started before callers of whom many had been refused. There was never a calm
-/// moment again in which to learn how long callers wait, so of 1,727 logged requests all were `visit=Unknown`, and those
-/// that came back took the places of those that came first: 0.68 to 0.75 of all came in time before, 0.50 to 0.58 from then on.
+/// Guards against a gateway that starts under lasting overload and never recognizes returning
+/// callers.
 #[test]
 fn equal_waits_are_learnt_also_where_it_is_never_calm() {
     let mut returns = learnt_in_overload(|_| 6_000);
@@ -157,7 +156,7 @@
 
 #[test]
 fn waits_that_are_drawn_from_no_range_tell_nothing() {
-    // Every fifth caller waits a fifth as long as the others.
+    // One in five callers has a fifth of the others' patience.
     let wait = |step: u64| match step % 5 {
         0 => 1_000 + drawn(step) / 10,
         _ => 5_900 + drawn(step) / 10,
--- a/crates/gingerpier_serving/tests/shared_link.rs
+++ b/crates/gingerpier_serving/tests/shared_link.rs
@@ -1,17 +1,17 @@
-//! A zone whose members share one link to the store, as a model without I/O.
+//! Simulation of a zone whose gateways share one link to the store.
 //!
-//! The store's answers cross the link in the order in which they were sent; one that was given up
-//! crosses all the same, in vain. Members tell each other beside the link. What is in force at the store
-//! has to be known to all members within 1.5 times what the link needs for a copy for each of the
-//! members that watch, however many members there are.
+//! Guards against a link that is too congested for configuration changes to arrive: every gateway
+//! must know the current version within 1.5 times the time that the link needs for one copy per
+//! watcher, however many gateways there are.
 //!
-//! What decides is the code under test; what the model repeats are a gateway's calls. An answer is given
-//! up where it has been silent and a small question that is asked meanwhile is answered, or after a long
-//! silence. A copy comes in pages, and goes on behind those that came. A watch that brings nothing is
-//! followed by a small question.
+//! The code under test decides what a gateway requests; the simulation issues the requests. Store
+//! responses cross the link in order, and even a cancelled one uses it. A response is cancelled if
+//! it is silent and a small probe meanwhile succeeds, or after a long silence. A snapshot is read
+//! in pages and resumes after the received ones. A watch without news is followed by a small
+//! confirming read.
 //!
-//! Left out are the words of other zones and of members that are asked at random while the store is silent:
-//! they only make things better. So is a store that forgets its history, since here it does not.
+//! Not simulated: messages from other zones, polls of random gateways while the store is silent,
+//! and compaction of the store's history.
 
 use {
     gingerpier_base::Instant,
@@ -19,55 +19,55 @@
     std::{collections::VecDeque, net::SocketAddr},
 };
 
-/// Bytes of a long answer.
+/// Size of a response with news.
 const ANSWER_BYTES: u64 = 1_300_000;
 
-/// Bytes of a short answer: a head and a page without items.
+/// Size of a response without items.
 const SHORT_BYTES: u64 = 300;
 
-/// Bytes that the link brings in a millisecond: 8 Mbit/s.
+/// Bandwidth of the link, 8 Mbit/s.
 const BYTES_PER_MILLI: u64 = 1_000;
 
-/// Milliseconds of a step of the model; a question to a member takes one.
+/// Duration of a simulation step; a poll of another gateway takes one step.
 const STEP_MILLIS: u64 = 10;
 
-/// Milliseconds that a watch waits for news.
+/// Time that the store holds a watch without news.
 const WATCH_MILLIS: u64 = 600;
 
-/// Milliseconds beyond its wait within which the answer to a watch begins.
+/// Additional time in which the response to a watch must begin.
 const WATCH_SLACK_MILLIS: u64 = 600;
 
-/// Milliseconds within which the answer to a read begins.
+/// Time in which the response to a read must begin.
 const READ_MILLIS: u64 = 1_500;
 
-/// Milliseconds without a byte after which the silence of an answer is looked into.
+/// Time without data after which a response is probed.
 const STALL_MILLIS: u64 = 800;
 
-/// Milliseconds without a byte after which an answer is given up, whatever else is known.
+/// Time without data after which a response is cancelled regardless of the probe.
 const MOST_SILENCE_MILLIS: u64 = 5_000;
 
-/// Milliseconds that the answer to the small question about a silent one may take.
+/// Timeout of the probe.
 const SMALL_MILLIS: u64 = 1_500;
 
-/// Milliseconds between watches.
+/// Pause between watches.
 const PAUSE_MILLIS: u64 = 400;
 
-/// Most milliseconds of the pause after a first failed call.
+/// Longest pause after the first failed call.
 const RETRY_MILLIS: u64 = 500;
 
-/// Most times that this doubles.
+/// Limit of the doublings of that pause.
 const MOST_DOUBLINGS: u32 = 2;
 
-/// Milliseconds for which a member holds a question while it has no news.
+/// Time that a gateway holds a poll without news.
 const HELD_MILLIS: u64 = 400;
 
-/// Milliseconds between questions to a member.
+/// Pause between polls.
 const BATCH_MILLIS: u64 = 20;
 
-/// When the store takes the new version, in the runs where it changes.
+/// Time of the change in the tests of a change.
 const CHANGED: Instant = Instant::from_millis(600);
 
-/// What a member decides; the one place that knows the types under test.
+/// Decisions of one gateway; the only code that depends on the types under test.
 struct Decisions(Watching);
 
 impl Decisions {
@@ -96,23 +96,23 @@
     }
 }
 
-/// A call of the store.
+/// Call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Call {
-    /// For news.
+    /// Wait for changes.
     Watch,
-    /// For how far the store is, after a watch that brought nothing.
+    /// Read the current revision after a watch without news.
     Confirm,
-    /// For the page of a copy with the configuration.
+    /// Read the first page of a snapshot, which holds the configuration.
     FirstPage,
-    /// For the page of a copy with the rest.
+    /// Read the remaining page of a snapshot.
     LastPage,
-    /// For how far the store is, where others are meant to watch.
+    /// Read the current revision to check the watchers.
     Probe,
 }
 
 impl Call {
-    /// Milliseconds within which its answer begins where the way is sound.
+    /// Time in which the response begins on a working link.
     const fn begins_millis(self) -> u64 {
         match self {
             Self::Watch => WATCH_MILLIS + WATCH_SLACK_MILLIS,
@@ -121,25 +121,25 @@
     }
 }
 
-/// A small question that is asked while an answer is silent.
+/// Small read that tests whether a silent response is still coming.
 #[derive(Debug, Clone, Copy)]
 struct Check {
     number: u64,
     until: Instant,
     is_answered: bool,
-    /// When bytes of the silent answer came last, as it was asked.
+    /// Time of the response's latest data when the probe was sent.
     heard: Option<Instant>,
 }
 
-/// A call of the store that is under way.
+/// Pending call to the store.
 #[derive(Debug, Clone, Copy)]
 struct Waiting {
     call: Call,
     number: u64,
     asked: Instant,
-    /// When bytes of the answer came last.
+    /// Time of the latest data of the response.
     heard: Option<Instant>,
-    /// False while the store holds it.
+    /// False while the store holds the response.
     is_sent: bool,
     check: Option<Check>,
 }
@@ -153,33 +153,33 @@
         patience.has_passed(now)
     }
 
-    /// True where `check`, which is over, tells that no answer is to be expected.
+    /// Returns true if the finished `check` shows that the response won't arrive.
     fn is_given_up(&self, check: &Check, now: Instant) -> bool {
         let silent = now.millis_since(self.heard.unwrap_or(self.asked));
         self.heard == check.heard && (check.is_answered || silent > MOST_SILENCE_MILLIS)
     }
 }
 
-/// A question to a member.
+/// Pending poll of another gateway.
 #[derive(Debug, Clone, Copy)]
 struct Asking {
-    /// Place of that member.
+    /// Index of the polled gateway.
     member: usize,
-    /// Until when it is held while there is no news.
+    /// Time until which the poll is held without news.
     held: Instant,
-    /// Age up to which its word counts.
+    /// Age up to which the response is accepted.
     most_age: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 enum Doing {
-    /// Nothing until then.
+    /// Idle until this time.
     Resting(Instant),
-    /// The store was asked.
+    /// Waiting for the store.
     Waiting(Waiting),
-    /// A member was asked for news.
+    /// Polling a gateway for changes.
     Asking(Asking),
-    /// A member, by its place, was asked for a first copy.
+    /// Requesting the first copy from the gateway with this index.
     AskingForCopy(usize),
 }
 
@@ -189,11 +189,11 @@
     decisions: Decisions,
     doing: Doing,
     knows: u64,
-    /// Version in the first page of a copy that is being read.
+    /// Version in the first page of a partly read snapshot.
     copy: Option<u64>,
-    /// Calls that failed in a row.
+    /// Consecutive failed calls.
     failures: u32,
-    /// The store's last word, or when this member started.
+    /// Time of the store's latest response, or of the gateway's start.
     word: Instant,
 }
 
@@ -202,7 +202,7 @@
         self.doing = Doing::Resting(until);
     }
 
-    /// Takes the whole answer to `waiting`; gives the call that follows at once, where one does.
+    /// Processes a complete response and returns the call that follows immediately, if any.
     fn take(&mut self, waiting: Waiting, version: u64, now: Instant) -> Option<Call> {
         let is_ahead = version > self.knows;
         match waiting.call {
@@ -242,7 +242,7 @@
 
 struct Answer {
     member: usize,
-    /// Number of the question.
+    /// Number of the call.
     number: u64,
     version: u64,
     bytes_left: u64,
@@ -254,7 +254,7 @@
     addresses: Vec<SocketAddr>,
     link: VecDeque<Answer>,
     carried: u64,
-    /// Questions that the store was asked.
+    /// Number of calls to the store so far.
     questions: u64,
     version: u64,
 }
@@ -264,13 +264,13 @@
     SocketAddr::from(([10, 1, high, low], 8_000))
 }
 
-/// A number below `most` that differs from place to place.
+/// Returns a pseudo-random number below `most` for an index.
 const fn scattered(place: usize, most: u64) -> u64 {
     ((place as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) % most
 }
 
 impl Zone {
-    /// Zone of `count` members that start now and know each other, but nothing else; the store holds
+    /// Creates `count` gateways that start now, know each other and have no copy; the store holds
     /// `version`.
     fn starting(count: usize, version: u64) -> Self {
         let now = Instant::from_millis(0);
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Zone of `count` members that all know the first version, which is short.
+    /// Creates `count` gateways that all have version 1.
     fn settled(count: usize) -> Self {
         let mut zone = Self::starting(count, 1);
         for (place, member) in zone.members.iter_mut().enumerate() {
@@ -308,13 +308,13 @@
         zone
     }
 
-    /// Members that do not know what is in force.
+    /// Returns the number of gateways without the current version.
     fn behind(&self) -> usize {
         let members = self.members.iter();
         members.filter(|one| one.knows < self.version).count()
     }
 
-    /// Runs until all members know what is in force, or `deadline`.
+    /// Runs until every gateway has the current version, or until `deadline`.
     fn run(&mut self, deadline: Instant) {
         while self.behind() > 0 && !deadline.has_passed(self.now) {
             self.step();
@@ -329,7 +329,7 @@
         }
     }
 
-    /// Brings as many bytes as the link can in a step.
+    /// Transfers as many bytes as the link carries in one step.
     fn carry(&mut self) {
         let mut room = BYTES_PER_MILLI * STEP_MILLIS;
         while room > 0
@@ -346,7 +346,7 @@
         }
     }
 
-    /// Brings a member what has come of an answer, where it still waits for it.
+    /// Delivers transferred data to a gateway if it still waits for it.
     fn deliver(&mut self, answer: &Answer) {
         let (place, now) = (answer.member, self.now);
         let member = &mut self.members[place];
@@ -411,7 +411,7 @@
         found.expect("a member of the zone")
     }
 
-    /// Asks the store; a watch is answered later.
+    /// Calls the store; a watch is answered later.
     fn call(&mut self, place: usize, call: Call) {
         self.questions += 1;
         let mut waiting = Waiting {
@@ -428,7 +428,7 @@
         self.members[place].doing = Doing::Waiting(waiting);
     }
 
-    /// The store answers; what is news is long.
+    /// Sends the store's response; only one with news is long.
     fn answer(&mut self, place: usize, waiting: &mut Waiting) {
         let is_long = match waiting.call {
             Call::Watch => self.members[place].knows < self.version,
@@ -449,7 +449,7 @@
         });
     }
 
-    /// Waits for the store's answer.
+    /// Handles a pending call.
     fn wait(&mut self, place: usize, mut waiting: Waiting) {
         let held = waiting.asked.after_millis(WATCH_MILLIS);
         let has_news = self.members[place].knows < self.version;
@@ -463,7 +463,7 @@
         self.members[place].doing = Doing::Waiting(waiting);
     }
 
-    /// Asks a small question where an answer is silent; true where the answer is given up.
+    /// Probes a silent response; returns true if the response is cancelled.
     fn look_into_silence(&mut self, place: usize, waiting: &mut Waiting) -> bool {
         let now = self.now;
         let Some(check) = waiting.check else {
@@ -490,7 +490,7 @@
         });
     }
 
-    /// Hears what a member knows, once that is news or the question was held for long.
+    /// Completes a poll when the polled gateway has news or the hold time ends.
     fn hear(&mut self, place: usize, asking: Asking) {
         let now = self.now;
         let teller = &self.members[asking.member];
@@ -509,7 +509,7 @@
         member.rest(now.after_millis(BATCH_MILLIS));
     }
 
-    /// Hears whether a member has a first copy.
+    /// Completes a request for a first copy.
     fn hear_first_copy(&mut self, place: usize, told_by: usize) {
         let teller = &self.members[told_by];
         let (address, version, word) = (teller.address, teller.knows, teller.word);
@@ -524,7 +524,7 @@
     }
 }
 
-/// Milliseconds within which a copy for each member that watches has to be known to all.
+/// Returns the time limit for all gateways.
 const fn bound_millis() -> u64 {
     let needed = WATCHERS as u64 * ANSWER_BYTES / BYTES_PER_MILLI;
     needed * 3 / 2
--- a/crates/gingerpier_serving/tests/sizes.rs
+++ b/crates/gingerpier_serving/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! How large a request is among those of its route, for logs and metrics.
+//! Tests of prompt size classes.
 
 use gingerpier_serving::sizes::{Band, Sizes};
 
