--- a/crates/gingerpier_serving/src/asking.rs
+++ b/crates/gingerpier_serving/src/asking.rs
@@ -1,100 +1,94 @@
-//! Whom a loader asks for what operators say of engines and the origin, and when it follows named
-//! weights at the store itself.
+//! Decides what a loader polls next for its configuration: services of engines and origins, and
+//! releases.
 //!
-//! There are more loaders than anything else, they start together, and a configuration of a megabyte
-//! for each of them fills the link to the store's region. So a loader asks a gateway for the few
-//! figures that it needs. Where none is heard it asks the store, but only after a while and at a
-//! moment of its own, drawn from its address: loaders of one site do not know each other yet. A
-//! failure is followed by a pause that grows, drawn anew each time. A gateway that is heard may
-//! still not answer; after some tries the store is asked once in between, so that nobody waits for
-//! ever.
+//! Loaders outnumber all other processes and start together, and a full configuration for each
+//! would congest the link to the store. So a loader polls a gateway for the small part that it
+//! needs. Without a reachable gateway it reads the store after a delay, spread by a hash of its
+//! address. Failures are retried with randomized exponential backoff. As reachable gateways may
+//! still not respond, the store is read once after some failures in a row.
 
 use {
     gingerpier_base::{Instant, order},
     std::net::SocketAddr,
 };
 
-/// Gateways of a zone of which one at least is taken to know what operators write: any other may
-/// be cut off or stand still.
+/// Gateways of the own zone from which on a loader relies on them for releases.
 pub const MANY_GATEWAYS: usize = 3;
 
-/// Milliseconds without a gateway, or with few, before the first loader asks the store: gateways
-/// need about that long to start and to learn of the loaders.
-const QUIET_MILLIS: u64 = 2_000;
+/// Milliseconds without a gateway, or with few, before the first loader reads the store; gateways
+/// need about that long to start and to discover loaders.
+const STORE_DELAY_MILLIS: u64 = 2_000;
 
-/// Milliseconds over which the loaders of one zone spread; zones come on top of each other. With 41
-/// loaders a zone the store gets some two calls in 100 ms, and a site of one zone has asked 4 s after
-/// its start.
-const SPREAD_MILLIS: u64 = 2_000;
+/// Milliseconds, per zone, over which the first reads of loaders are spread.
+const STORE_SPREAD_MILLIS: u64 = 2_000;
 
-/// Longest pause, in milliseconds, after a first failure of the store.
-const LEAST_PAUSE_MILLIS: u64 = 500;
+/// Maximum delay in milliseconds after a first failure of the store.
+const INITIAL_STORE_BACKOFF_MILLIS: u64 = 500;
 
-/// Longest pause, in milliseconds, after any failure.
-const MOST_PAUSE_MILLIS: u64 = 16_000;
+/// Maximum delay in milliseconds after any failure of the store.
+const MAX_STORE_BACKOFF_MILLIS: u64 = 16_000;
 
-/// Longest pause, in milliseconds, after a first failure of a gateway: one that starts knows a configuration
-/// within a second, and its answer is small.
-const LEAST_GATEWAY_PAUSE_MILLIS: u64 = 100;
+/// Maximum delay in milliseconds after a first failure of a gateway.
+const INITIAL_GATEWAY_BACKOFF_MILLIS: u64 = 100;
 
-/// Longest pause, in milliseconds, after any failure of a gateway.
-const MOST_GATEWAY_PAUSE_MILLIS: u64 = 800;
+/// Maximum delay in milliseconds after any failure of a gateway.
+const MAX_GATEWAY_BACKOFF_MILLIS: u64 = 800;
 
-/// Doublings after which the longest pause is reached.
-const MOST_DOUBLINGS: u32 = 5;
+/// Doublings after which the maximum delay is reached.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// Failures of gateways in a row after which the store is asked once.
-const GATEWAY_TRIES: u32 = 8;
+/// Consecutive failures of gateways after which the store is read once.
+const MAX_GATEWAY_FAILURES: u32 = 8;
 
-/// What a loader knows of the figures.
+/// State of a loader's configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Knowledge {
-    /// Nothing.
+    /// It has none.
     Nothing,
-    /// Something else than what gateways know.
+    /// Gateways have a newer one.
     Outdated,
-    /// All that gateways know, as far as they are heard.
+    /// As new as that of all reachable gateways.
     Enough,
 }
 
-/// What a loader hears.
+/// What a loader currently knows.
 #[derive(Debug, Clone, Copy)]
 pub struct Heard<'h> {
-    /// Gateways that may be asked, all those with the newest word; empty where none is heard.
+    /// Gateways to poll, all with the newest revision; empty if none is reachable.
     pub gateways: &'h [SocketAddr],
-    /// Gateways that may be asked where none is heard; they may be old or down.
+    /// Gateways to try if none is reachable; they may be outdated or down.
     pub seeds: &'h [SocketAddr],
-    /// Gateways of its own zone.
+    /// Number of gateways in its own zone.
     pub near_count: usize,
-    /// What is known.
+    /// State of its configuration.
     pub knowledge: Knowledge,
 }
 
 /// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Ask a gateway for the figures.
+    /// Poll a gateway for the configuration.
     Gateway(SocketAddr),
-    /// Ask the store for what operators write.
+    /// Read the operators' items from the store.
     Store,
-    /// Follow at the store what is small: named weights.
+    /// Watch only releases at the store.
     Weights,
-    /// Nothing before a moment, unless something else is heard.
+    /// Wait until this time, or until the view changes.
     Wait(Instant),
 }
 
-/// Who was asked, and for what.
+/// What was polled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// A gateway, for the figures.
+    /// A gateway, for the configuration.
     Gateway,
-    /// The store, for what operators write.
+    /// The store, for the operators' items.
     Store,
-    /// The store, for named weights.
+    /// The store, for releases.
     Weights,
 }
 
-/// A pause that grows with each failure.
+/// Exponential backoff with full jitter.
 #[derive(Debug, Clone, Copy, Default)]
 struct Backoff {
     failures: u32,
@@ -102,149 +96,154 @@
 }
 
 impl Backoff {
-    fn note_failure(&mut self, least: u64, most: u64, now: Instant, draw: u64) {
-        let doublings = self.failures.min(MOST_DOUBLINGS);
-        let longest = (least << doublings).min(most);
+    fn note_failure(&mut self, initial_millis: u64, max_millis: u64, now: Instant, draw: u64) {
+        let doublings = self.failures.min(MAX_DOUBLINGS);
+        let max_delay_millis = (initial_millis << doublings).min(max_millis);
         self.failures += 1;
-        self.until = now.after_millis(draw % (longest + 1));
+        self.until = now.after_millis(draw % (max_delay_millis + 1));
     }
 }
 
-/// What one loader decides.
+/// Polling schedule of one loader.
 #[derive(Debug, Clone)]
 pub struct Asking {
     own: SocketAddr,
     zone_count: usize,
-    /// When the store may be asked for the figures; none while a gateway is heard.
-    figures_from: Option<Instant>,
-    /// When the store may be asked for named weights; none while many gateways are near.
-    weights_from: Option<Instant>,
-    gateways: Backoff,
-    store: Backoff,
+    /// When the store may be read for the configuration; none while a gateway is reachable.
+    store_allowed_at: Option<Instant>,
+    /// When the store may be watched for releases; none while enough gateways are near.
+    watch_allowed_at: Option<Instant>,
+    gateway_backoff: Backoff,
+    store_backoff: Backoff,
 }
 
 impl Asking {
-    /// State of the loader `own` at a site of so many zones, which starts now.
+    /// Creates the schedule of loader `own` at a site with `zone_count` zones, which starts now.
     pub fn new(own: SocketAddr, zone_count: usize, now: Instant) -> Self {
         let mut asking = Self {
             own,
             zone_count,
-            figures_from: None,
-            weights_from: None,
-            gateways: Backoff::default(),
-            store: Backoff::default(),
+            store_allowed_at: None,
+            watch_allowed_at: None,
+            gateway_backoff: Backoff::default(),
+            store_backoff: Backoff::default(),
         };
-        let nobody = Heard {
+        let unreachable = Heard {
             gateways: &[],
             seeds: &[],
             near_count: 0,
             knowledge: Knowledge::Nothing,
         };
-        asking.note_heard(&nobody, now);
+        asking.update_deadlines(&unreachable, now);
         asking
     }
 
-    /// What to do next.
+    /// Returns the next step.
     pub fn next(&mut self, heard: &Heard<'_>, now: Instant) -> Step {
-        self.note_heard(heard, now);
-        let figures = self.figures(heard, now);
-        let weights = self.weights(now);
-        match (figures, weights) {
-            (Step::Wait(_), Step::Weights) => weights,
-            (Step::Wait(one), Step::Wait(other)) => Step::Wait(one.min(other)),
-            _ => figures,
+        self.update_deadlines(heard, now);
+        let configuration_step = self.configuration_step(heard, now);
+        let watch_step = self.watch_step(now);
+        match (configuration_step, watch_step) {
+            (Step::Wait(_), Step::Weights) => watch_step,
+            (Step::Wait(either), Step::Wait(other)) => Step::Wait(either.min(other)),
+            _ => configuration_step,
         }
     }
 
-    /// Notes that `source` did not answer, or did not say what was asked; `draw` is any number.
+    /// Records that `source` gave no usable response; `draw` is a random number for jitter.
     pub fn note_failure(&mut self, source: Source, now: Instant, draw: u64) {
         if source == Source::Gateway {
-            let (least, most) = (LEAST_GATEWAY_PAUSE_MILLIS, MOST_GATEWAY_PAUSE_MILLIS);
-            return self.gateways.note_failure(least, most, now, draw);
+            let (initial_millis, max_millis) =
+                (INITIAL_GATEWAY_BACKOFF_MILLIS, MAX_GATEWAY_BACKOFF_MILLIS);
+            return self
+                .gateway_backoff
+                .note_failure(initial_millis, max_millis, now, draw);
         }
         if source == Source::Store {
-            self.gateways.failures = 0;
+            self.gateway_backoff.failures = 0;
         }
-        let (least, most) = (LEAST_PAUSE_MILLIS, MOST_PAUSE_MILLIS);
-        self.store.note_failure(least, most, now, draw);
+        let (initial_millis, max_millis) = (INITIAL_STORE_BACKOFF_MILLIS, MAX_STORE_BACKOFF_MILLIS);
+        self.store_backoff
+            .note_failure(initial_millis, max_millis, now, draw);
     }
 
-    /// Notes that `source` answered.
+    /// Records a response of `source`.
     pub fn note_answer(&mut self, source: Source) {
         match source {
-            Source::Gateway => self.gateways = Backoff::default(),
+            Source::Gateway => self.gateway_backoff = Backoff::default(),
             Source::Store => {
-                self.gateways = Backoff::default();
-                self.store = Backoff::default();
+                self.gateway_backoff = Backoff::default();
+                self.store_backoff = Backoff::default();
             }
-            Source::Weights => self.store = Backoff::default(),
+            Source::Weights => self.store_backoff = Backoff::default(),
         }
     }
 
-    fn note_heard(&mut self, heard: &Heard<'_>, now: Instant) {
-        let turn = self.turn(now);
-        let from = |lacks: bool, known: Option<Instant>| lacks.then(|| known.unwrap_or(turn));
-        self.figures_from = from(heard.gateways.is_empty(), self.figures_from);
-        self.weights_from = from(heard.near_count < MANY_GATEWAYS, self.weights_from);
+    fn update_deadlines(&mut self, heard: &Heard<'_>, now: Instant) {
+        let store_start = self.store_start(now);
+        let from =
+            |lacks: bool, known: Option<Instant>| lacks.then(|| known.unwrap_or(store_start));
+        self.store_allowed_at = from(heard.gateways.is_empty(), self.store_allowed_at);
+        self.watch_allowed_at = from(heard.near_count < MANY_GATEWAYS, self.watch_allowed_at);
     }
 
-    /// When this loader may ask the store, where it lacks gateways from `now` on.
-    fn turn(&self, now: Instant) -> Instant {
-        let spread = SPREAD_MILLIS * self.zone_count.max(1) as u64;
-        now.after_millis(QUIET_MILLIS + order::hash(&self.own) % spread)
+    /// Returns when this loader may read the store if it lacks gateways from `now` on.
+    fn store_start(&self, now: Instant) -> Instant {
+        let spread = STORE_SPREAD_MILLIS * self.zone_count.max(1) as u64;
+        now.after_millis(STORE_DELAY_MILLIS + order::hash(&self.own) % spread)
     }
 
-    fn figures(&self, heard: &Heard<'_>, now: Instant) -> Step {
+    fn configuration_step(&self, heard: &Heard<'_>, now: Instant) -> Step {
         if heard.knowledge == Knowledge::Enough {
-            return Step::Wait(now.after_millis(MOST_PAUSE_MILLIS));
+            return Step::Wait(now.after_millis(MAX_STORE_BACKOFF_MILLIS));
         }
-        if let Some(from) = self.figures_from {
-            let store = self.store_at(from, Step::Store, now);
-            return match (store, self.seed(heard.seeds, now)) {
-                (Step::Wait(one), Some(Step::Wait(other))) => Step::Wait(one.min(other)),
-                (Step::Wait(_), Some(seed)) => seed,
+        if let Some(from) = self.store_allowed_at {
+            let store = self.store_step(from, Step::Store, now);
+            return match (store, self.seed_step(heard.seeds, now)) {
+                (Step::Wait(either), Some(Step::Wait(other))) => Step::Wait(either.min(other)),
+                (Step::Wait(_), Some(seed_step)) => seed_step,
                 (store, _) => store,
             };
         }
-        if self.gateways.failures >= GATEWAY_TRIES {
-            return self.store_at(self.gateways.until, Step::Store, now);
+        if self.gateway_backoff.failures >= MAX_GATEWAY_FAILURES {
+            return self.store_step(self.gateway_backoff.until, Step::Store, now);
         }
-        if !self.gateways.until.has_passed(now) {
-            return Step::Wait(self.gateways.until);
+        if !self.gateway_backoff.until.has_passed(now) {
+            return Step::Wait(self.gateway_backoff.until);
         }
-        Step::Gateway(self.turned(heard.gateways))
+        Step::Gateway(self.select(heard.gateways))
     }
 
-    /// What to do with `seeds` while no gateway is heard.
-    fn seed(&self, seeds: &[SocketAddr], now: Instant) -> Option<Step> {
+    /// Returns the step for `seeds` while no gateway is reachable.
+    fn seed_step(&self, seeds: &[SocketAddr], now: Instant) -> Option<Step> {
         if seeds.is_empty() {
             return None;
         }
-        Some(match self.gateways.until.has_passed(now) {
-            true => Step::Gateway(self.turned(seeds)),
-            false => Step::Wait(self.gateways.until),
+        Some(match self.gateway_backoff.until.has_passed(now) {
+            true => Step::Gateway(self.select(seeds)),
+            false => Step::Wait(self.gateway_backoff.until),
         })
     }
 
-    /// One of `gateways`: loaders spread over them, and each tries another one after a failure.
-    fn turned(&self, gateways: &[SocketAddr]) -> SocketAddr {
+    /// Returns one of `gateways`: loaders spread over them, and each failure moves on to the next.
+    fn select(&self, gateways: &[SocketAddr]) -> SocketAddr {
         let first = order::hash(&self.own) as usize % gateways.len();
-        gateways[(first + self.gateways.failures as usize) % gateways.len()]
+        gateways[(first + self.gateway_backoff.failures as usize) % gateways.len()]
     }
 
-    fn weights(&self, now: Instant) -> Step {
-        match self.weights_from {
-            Some(from) => self.store_at(from, Step::Weights, now),
-            None => Step::Wait(now.after_millis(MOST_PAUSE_MILLIS)),
+    fn watch_step(&self, now: Instant) -> Step {
+        match self.watch_allowed_at {
+            Some(from) => self.store_step(from, Step::Weights, now),
+            None => Step::Wait(now.after_millis(MAX_STORE_BACKOFF_MILLIS)),
         }
     }
 
-    /// `step`, which asks the store, from `from` on and not in the pause after a failure.
-    fn store_at(&self, from: Instant, step: Step, now: Instant) -> Step {
-        let begins = from.max(self.store.until);
-        match begins.has_passed(now) {
+    /// Returns `step`, which uses the store, unless it is before `from` or during the backoff.
+    fn store_step(&self, from: Instant, step: Step, now: Instant) -> Step {
+        let starts_at = from.max(self.store_backoff.until);
+        match starts_at.has_passed(now) {
             true => step,
-            false => Step::Wait(begins),
+            false => Step::Wait(starts_at),
         }
     }
 }
--- a/crates/gingerpier_serving/src/bringing.rs
+++ b/crates/gingerpier_serving/src/bringing.rs
@@ -1,89 +1,87 @@
-//! When an engine is ordered to take new weights.
+//! Schedules when each engine is ordered to load new weights.
 //!
-//! An engine that takes weights lets its work end first and takes nothing new meanwhile, so all
-//! engines at once would leave callers with nobody. Engines that serve older weights are ordered
-//! one after the other; an engine without weights has nothing to lose and is ordered at once.
+//! An engine drains before it loads weights and rejects requests meanwhile, so engines that serve
+//! older weights are ordered one after the other. An engine without weights is ordered at once.
 //!
-//! Weights that are whole are never given up for newer ones that are still on their way: what
-//! they come from may go down at any moment, and an engine whose weights came due serves nothing.
+//! Complete weights are never dropped in favour of newer ones that are still being fetched: their
+//! source may fail at any moment, and an engine with expired weights serves nothing.
 
 use {
     crate::report::Version,
     gingerpier_base::{Instant, order},
 };
 
-/// Weights that operators named, and from when on their bound counts.
+/// A released version with its release time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NamedAt {
     /// Version.
     pub version: Version,
-    /// From when on.
+    /// Release time, from which the bound counts.
     pub at: Instant,
 }
 
-/// Times of a change of weights.
+/// Time limits of a weight update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Terms {
-    /// Milliseconds from the naming within which every engine must have been ordered.
+    /// Milliseconds from the release within which every engine must be ordered.
     pub within_millis: u64,
-    /// Milliseconds kept free at the end.
+    /// Milliseconds of the bound that are reserved for the update itself.
     pub margin_millis: u64,
 }
 
-/// Milliseconds between the word that an order is coming and the first change at the engine.
-/// Gateways hear it, and what waits at the engine begins meanwhile: a machine that stands still
-/// later on keeps no request back that would begin on the older weights when it wakes. The engine
-/// loses nothing by it, as what runs takes longer to end.
-const QUIET_MILLIS: u64 = 450;
+/// Milliseconds from the announcement of an order to the first change at the engine. Gateways stop
+/// sending to it meanwhile, and requests queued there start, so that a machine that is suspended
+/// later keeps none back to start it on older weights.
+const FIRST_CHANGE_DELAY_MILLIS: u64 = 450;
 
-/// Milliseconds between the word that an order is coming and the order.
-const NOTICE_MILLIS: u64 = 650;
+/// Milliseconds from the announcement of an order to the order.
+const ORDER_DELAY_MILLIS: u64 = 650;
 
-/// How long an engine may serve the weights that it holds.
+/// How long an engine may serve its current weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Tenure {
-    /// It holds none.
+    /// It has no weights.
     Empty,
-    /// Nothing newer was named.
+    /// No newer version is released.
     Unbounded,
-    /// Until the instant, from which on gateways send it nothing.
+    /// Until this time; from then on gateways send it no requests.
     Until(Instant),
 }
 
-/// What comes between the word that an order is coming and the order.
+/// Period between the announcement of an order and the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Notice {
-    /// Until when nothing is changed at the engine.
+    /// Time before which nothing is changed at the engine.
     pub quiet_until: Instant,
-    /// When the order may be given.
+    /// Earliest time of the order.
     pub order_at: Instant,
 }
 
-/// Notice given `now` of an order. An engine that takes nothing any more has nothing that waits, and all others are
-/// as idle as it where weights came late for everybody: there, each needless wait keeps callers from all engines.
+/// Returns the notice period of an order announced at `now`. There is none for an engine that
+/// receives no requests any more: if weights are late everywhere, all other engines are idle too.
 pub fn notice(tenure: Tenure, now: Instant) -> Notice {
     let due = match tenure {
         Tenure::Empty => now,
-        Tenure::Unbounded => now.after_millis(NOTICE_MILLIS),
+        Tenure::Unbounded => now.after_millis(ORDER_DELAY_MILLIS),
         Tenure::Until(due) => due.max(now),
     };
     Notice {
-        quiet_until: now.after_millis(QUIET_MILLIS).min(due),
-        order_at: now.after_millis(NOTICE_MILLIS).min(due),
+        quiet_until: now.after_millis(FIRST_CHANGE_DELAY_MILLIS).min(due),
+        order_at: now.after_millis(ORDER_DELAY_MILLIS).min(due),
     }
 }
 
-/// Place of an engine among all that are to take new weights.
+/// Position of an engine in the order of updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
-    /// Engines ahead of it.
+    /// Number of engines ahead of it.
     pub rank: u32,
-    /// Engines.
+    /// Number of engines.
     pub count: u32,
 }
 
-/// Place of `own` among `members`, the same at every process that knows the same members. It is
-/// the same for all versions, so that an engine that takes two of them rests between.
+/// Returns the position of `own` among `members`, equal at all processes with the same members. It
+/// doesn't depend on the version, so an engine that takes two updates has a pause between them.
 pub fn place(own: u64, members: &[u64]) -> Place {
     let score = |member: u64| (order::mix(member), member);
     let ahead = members
@@ -96,12 +94,12 @@
     }
 }
 
-/// When an engine that holds `held` is ordered to take newer weights.
+/// Returns when an engine that holds version `held` is ordered to load newer weights.
 ///
-/// The oldest of the `named` versions that it lacks sets the turn, as it comes due first. Turns
-/// are spread evenly from `complete_at`, when weights that will do were whole beside the engine,
-/// to the last moment at which an order keeps the bound. What the engine takes at its turn is
-/// the newest version that is whole by then.
+/// The oldest of the `named` versions that it lacks determines the time, as it expires first.
+/// Orders are spread evenly from `complete_at`, when suitable weights were complete at the engine,
+/// to the last moment that keeps the bound. The engine then loads the newest version that is
+/// complete.
 pub fn order_at(
     held: Option<Version>,
     named: &[NamedAt],
@@ -109,12 +107,16 @@
     place: Place,
     terms: &Terms,
 ) -> Instant {
-    let unmet = named.iter().filter(|named| Some(named.version) > held);
-    let Some(oldest) = unmet.map(|named| named.at).min().filter(|_| held.is_some()) else {
+    let missing = named.iter().filter(|named| Some(named.version) > held);
+    let Some(oldest_at) = missing
+        .map(|named| named.at)
+        .min()
+        .filter(|_| held.is_some())
+    else {
         return complete_at;
     };
-    let last = oldest.after_millis(terms.within_millis.saturating_sub(terms.margin_millis));
-    let spread = last.millis_since(complete_at);
-    let wave = spread * u64::from(place.rank) / u64::from(place.count.max(1));
-    complete_at.after_millis(wave)
+    let latest_at = oldest_at.after_millis(terms.within_millis.saturating_sub(terms.margin_millis));
+    let spread_millis = latest_at.millis_since(complete_at);
+    let delay_millis = spread_millis * u64::from(place.rank) / u64::from(place.count.max(1));
+    complete_at.after_millis(delay_millis)
 }
--- a/crates/gingerpier_serving/src/dialect.rs
+++ b/crates/gingerpier_serving/src/dialect.rs
@@ -1,7 +1,7 @@
-//! The edge to a platform: its names and messages, as calls and typed answers.
+//! Interface to a platform: its header names, requests and parsed responses.
 //!
-//! An adapter implements [`Dialect`] and nothing else. It holds no state, does no I/O and decides
-//! nothing; whoever calls it sends the calls and reads the answers.
+//! A platform adapter implements [`Dialect`] and nothing else. It has no state, does no I/O and
+//! makes no decisions; its callers send the requests and pass the responses back.
 
 use {
     crate::{
@@ -13,52 +13,52 @@
     displaydoc::Display,
 };
 
-/// Names of header fields, in lower case.
+/// Names of HTTP header fields, in lower case.
 #[derive(Debug, Clone, Copy)]
 pub struct Names {
-    /// Id of one attempt of a caller.
+    /// Id of one attempt by a client.
     pub attempt: &'static str,
-    /// Milliseconds that a caller will wait.
+    /// Milliseconds for which a client waits.
     pub deadline: &'static str,
-    /// Key of a caller.
+    /// API key of a client.
     pub key: &'static str,
-    /// Name of the tenant, for engines.
+    /// Name of the client account, sent to engines.
     pub tenant: &'static str,
-    /// Model that is asked for.
+    /// Requested model.
     pub model: &'static str,
-    /// Tokens of a prompt, and most tokens of an answer.
+    /// Prompt tokens, and the maximum tokens of a response.
     pub tokens: &'static str,
-    /// Last event that the caller has.
+    /// Last event that the client received.
     pub last_event: &'static str,
-    /// Incarnation that alone may run a request.
+    /// Only incarnation that may run the request.
     pub expect_engine: &'static str,
-    /// Version that alone may run a request.
+    /// Only version that may run the request.
     pub expect_version: &'static str,
-    /// Proof of an engine that it did not run a request.
+    /// Set by an engine that did not run the request.
     pub not_run: &'static str,
     /// Signature of an engine.
     pub seal: &'static str,
-    /// Version that answers.
+    /// Version of the weights that generate the response.
     pub version: &'static str,
-    /// Rank of a request at an engine, which callers do not set.
+    /// Priority of a request at an engine; not accepted from clients.
     pub priority: &'static str,
-    /// Seconds after which to come again.
+    /// Seconds after which to retry.
     pub retry_after: &'static str,
 }
 
-/// A call without its connection.
+/// An HTTP request without its connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
     /// Method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Body; JSON unless the call is known to carry bytes.
+    /// Body; JSON, except for chunks.
     pub body: Vec<u8>,
 }
 
 impl Call {
-    /// Call without a body.
+    /// Creates a request without a body.
     pub const fn get(target: String) -> Self {
         Self {
             method: "GET",
@@ -68,44 +68,44 @@
     }
 }
 
-/// What an item of the store says.
+/// Parsed value of a store item.
 #[derive(Debug, Clone)]
 pub enum Fact {
     /// The operators' configuration.
     Configuration(Box<Configuration>),
-    /// An engine is listed.
+    /// A listed engine.
     Engine(Box<Record>),
-    /// New weights are named.
+    /// A release of weights.
     Weights(Named),
-    /// Engines of a zone are to get no requests.
+    /// Zone whose engines get no requests.
     Evacuation(String),
-    /// Nothing that matters here.
+    /// Not relevant here.
     Other,
 }
 
-/// What was read of an item.
+/// A parsed store item.
 #[derive(Debug, Clone)]
 pub struct Reading {
-    /// What it says.
+    /// Its value.
     pub fact: Fact,
-    /// What it lacks, or says in words that are not known.
+    /// What is missing or unknown in it.
     pub omissions: Vec<Omission>,
 }
 
-/// Something that an item lacks or that is not known, and what is done without it.
+/// A missing or unknown part of an item, and how it is handled.
 #[derive(Debug, Display, Clone, PartialEq, Eq, PartialOrd, Ord)]
 #[displaydoc("{place}: {what} is missing or unknown: {instead}")]
 pub struct Omission {
-    /// Where in the item.
+    /// Position in the item.
     pub place: String,
-    /// What is missing.
+    /// The missing or unknown part.
     pub what: String,
     /// What is done instead.
     pub instead: &'static str,
 }
 
 impl Omission {
-    /// Omission of `what` at `place`, with what is done `instead`.
+    /// Creates an omission of `what` at `place`.
     pub fn new(place: &str, what: &str, instead: &'static str) -> Self {
         Self {
             place: place.to_owned(),
@@ -115,22 +115,22 @@
     }
 }
 
-/// What the key of an item stands for.
+/// What the key of a store item identifies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Subject {
     /// The operators' configuration.
     Configuration,
-    /// The engine with an id.
+    /// An engine, by its id.
     Engine(String),
-    /// Weights of a model.
+    /// The released weights of a model.
     Weights(String),
     /// Evacuation of a zone.
     Evacuation(String),
-    /// Nothing that matters here.
+    /// Not relevant here.
     Other,
 }
 
-/// Weights that operators named.
+/// A version of a model's weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Named {
     /// Model.
@@ -139,49 +139,49 @@
     pub version: Version,
 }
 
-/// A page of items.
+/// A page of store items.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Page {
-    /// Entries that are no items and were left out.
+    /// Number of malformed entries that were skipped.
     pub left_out: u32,
     /// Items.
     pub items: Vec<Item>,
-    /// True where more follow.
+    /// True if more pages follow.
     pub has_more: bool,
     /// Revision of the store.
     pub at: Revision,
 }
 
-/// What a watch brought.
+/// Response to a watch request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Watched {
-    /// Changes up to a revision.
+    /// Changes up to the page's revision.
     Changes(Page),
-    /// The history asked for is gone.
+    /// The requested revision is compacted.
     HistoryGone,
 }
 
-/// What the origin says of a version.
+/// Chunks of one version, as the origin lists them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Manifest {
     /// Model.
     pub model: String,
     /// Version.
     pub version: Version,
-    /// Bytes of a chunk.
+    /// Bytes per chunk.
     pub chunk_bytes: u64,
-    /// Digest of each chunk, by SHA-256.
+    /// SHA-256 digest of each chunk.
     pub digests: Vec<[u8; 32]>,
 }
 
-/// A message that does not say what it should.
+/// A response that can't be used.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum Error {
     /// status {0}
     Status(u16),
     /// {place}: {what}
     Malformed {
-        /// Where in the message.
+        /// Position in the message.
         place: String,
         /// What is wrong.
         what: String,
@@ -190,100 +190,101 @@
 
 impl std::error::Error for Error {}
 
-/// Messages of a platform.
+/// Requests and responses of a platform.
 pub trait Dialect {
-    /// Names of header fields.
+    /// Returns the header names.
     fn names(&self) -> &'static Names;
 
-    /// True where `target` asks whether this process is ready.
+    /// Returns true if `target` is the path of the readiness check of this process.
     fn asks_ready(&self, target: &str) -> bool;
 
-    /// Call for a page of items, behind `after`; `stale` where an old answer will do.
+    /// Request for a page of items after key `after`; with `stale`, an outdated response will do.
     fn list(&self, scope: Scope, after: &str, stale: bool) -> Call;
 
-    /// Answer to [`Dialect::list`].
+    /// Parses the response to [`Dialect::list`].
     ///
     /// # Errors
     ///
-    /// Where it is refused or malformed.
+    /// If the request was rejected or the response is malformed.
     fn read_list(&self, status: u16, body: &[u8]) -> Result<Page, Error>;
 
-    /// Call for changes behind `after`, which waits at most `wait_millis`.
+    /// Request for changes after revision `after`, which the store answers within `wait_millis`.
     fn watch(&self, scope: Scope, after: Revision, wait_millis: u64) -> Call;
 
-    /// Answer to [`Dialect::watch`].
+    /// Parses the response to [`Dialect::watch`].
     ///
     /// # Errors
     ///
-    /// Where it is refused or malformed.
+    /// If the request was rejected or the response is malformed.
     fn read_watch(&self, status: u16, body: &[u8]) -> Result<Watched, Error>;
 
-    /// What the key of an item stands for.
+    /// Returns what the key of an item identifies.
     fn subject(&self, key: &str) -> Subject;
 
-    /// What an item says. What is missing or unknown costs what depends on it, and is named.
+    /// Parses the value of an item. Missing or unknown parts are replaced and listed as omissions.
     ///
     /// # Errors
     ///
-    /// Where the value is malformed, or nothing could be done with the rest.
+    /// If the value is malformed or unusable without the missing parts.
     fn fact(&self, key: &str, value: &[u8]) -> Result<Reading, Error>;
 
-    /// Call for the state of an engine.
+    /// Request for the state of an engine.
     fn report(&self) -> Call;
 
-    /// Answer to [`Dialect::report`].
+    /// Parses the response to [`Dialect::report`].
     ///
     /// # Errors
     ///
-    /// Where it is refused or malformed.
+    /// If the request was rejected or the response is malformed.
     fn read_report(&self, status: u16, body: &[u8]) -> Result<Report, Error>;
 
-    /// Order to an engine to take the weights that lie there, if it has taken `sequence` orders.
+    /// Request that orders an engine to load its staged weights, unless its number of orders so far
+    /// differs from `sequence`.
     fn start(&self, named: &Named, sequence: u64) -> Call;
 
-    /// Answer to [`Dialect::start`].
+    /// Parses the response to [`Dialect::start`].
     fn read_start(&self, status: u16) -> Started;
 
-    /// Call for the manifest of a version; of the newest where it is 0.
+    /// Request for the manifest of a version; of the newest if the version is 0.
     fn manifest(&self, named: &Named) -> Call;
 
-    /// Answer to [`Dialect::manifest`].
+    /// Parses the response to [`Dialect::manifest`].
     ///
     /// # Errors
     ///
-    /// Where it is refused or malformed.
+    /// If the request was rejected or the response is malformed.
     fn read_manifest(&self, status: u16, body: &[u8]) -> Result<Manifest, Error>;
 
-    /// Call for a chunk at the origin.
+    /// Request for a chunk from the origin.
     fn chunk(&self, named: &Named, chunk: u32) -> Call;
 
-    /// Call that lays a chunk at an engine.
+    /// Request that stages a chunk at an engine; the caller adds the body.
     fn lay_chunk(&self, model: &str, chunk: u32) -> Call;
 
-    /// Call for a chunk that lies at an engine.
+    /// Request that reads a staged chunk back from an engine.
     fn laid_chunk(&self, model: &str, chunk: u32) -> Call;
 }
 
-/// What a page or a watch covers.
+/// Items covered by a list or watch request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// All items.
     Everything,
-    /// What operators write.
+    /// Items that operators write.
     Operators,
-    /// Weights that operators named.
+    /// Released weights.
     Weights,
-    /// The list of engines.
+    /// Listed engines.
     Engines,
 }
 
-/// What an engine made of an order.
+/// Response of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Started {
-    /// It has begun.
+    /// Loading has begun.
     Begun,
-    /// It holds the weights already.
+    /// The engine already holds the weights.
     Done,
-    /// It does not fit its state.
+    /// The order doesn't fit the engine's state.
     Refused,
 }
--- a/crates/gingerpier_serving/src/lib.rs
+++ b/crates/gingerpier_serving/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decisions of a gateway before engines: configuration, membership, admission, retries.
+//! Decisions of gateways and loaders: configuration, membership, admission, retries, weight
+//! updates.
 //!
-//! Where the platform already keeps the configuration and lists the engines, a gateway needs no
-//! log of its own. It keeps a [`mirror`] of what the platform holds, reads a [`configuration`] and
-//! a [`fleet`] of engines out of it, and decides for each request whether to take it and where it
-//! goes ([`admission`]), and what follows a failed attempt ([`course`], [`budget`]). Everything
-//! here is plain data with functions on it: time and events come in as arguments.
+//! The platform's store holds the configuration and lists the engines, so gateways keep no log of
+//! their own. A gateway replicates the store in a [`mirror`], reads a [`configuration`] and a
+//! [`fleet`] of engines from it, and decides for each request whether it is admitted and which
+//! engine runs it ([`admission`]), and how failed attempts are retried ([`course`], [`budget`]).
+//! All modules are plain data and functions without I/O: time and events are arguments.
 //!
 //! ```
 //! use {
--- a/crates/gingerpier_serving/src/liveness.rs
+++ b/crates/gingerpier_serving/src/liveness.rs
@@ -1,11 +1,11 @@
-//! Which gateways of one zone live, as they find out themselves.
+//! Tracks which gateways of a zone are alive, by probes and gossip between them.
 //!
-//! Each gateway probes one other each period, in an order of its own that passes through all. Whoever answers none of
-//! several probes is gone, unless loaders named it lately, or the prober hears nobody at all: silence that all share says
-//! nothing about one of them.
-//! News (who is there, who is gone) travel with probes and their answers, each a number of times that grows with the
-//! logarithm of the zone, so that the messages of one gateway do not grow with the zone and all know of a change after
-//! some rounds. A gateway that hears of its own end says so with a higher incarnation, which counts for more.
+//! Each gateway probes one other per interval, in a random order that covers all. A gateway that
+//! answers none of several probes counts as dead, unless loaders mentioned it recently, or the
+//! prober itself receives no messages at all. Updates (who is alive, who is dead) travel with
+//! probes and replies, each a number of times that grows with the logarithm of the zone, so the
+//! traffic of one gateway doesn't grow with the zone. A gateway that learns of its own death
+//! refutes it with a higher incarnation.
 //!
 //! ```
 //! use gingerpier_base::Instant;
@@ -24,160 +24,166 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Milliseconds between probes of one gateway.
-const PERIOD_MILLIS: u64 = 500;
+/// Milliseconds between probes.
+const PROBE_INTERVAL_MILLIS: u64 = 500;
 
-/// The same while more news wait than one message holds, as at a start of everything.
-const NEWS_PERIOD_MILLIS: u64 = 100;
+/// Milliseconds between probes while more updates are pending than fit one message.
+const BACKLOG_PROBE_INTERVAL_MILLIS: u64 = 100;
 
-/// Milliseconds after which a probe without an answer is repeated.
-const ANSWER_MILLIS: u64 = 400;
+/// Milliseconds without a reply after which a probe is repeated.
+const REPLY_TIMEOUT_MILLIS: u64 = 400;
 
-/// Probes without an answer after which a gateway is gone.
-const MAX_PROBES: u32 = 5;
+/// Unanswered probes after which a gateway is dead.
+const MAX_PROBE_ATTEMPTS: u32 = 5;
 
-/// Milliseconds from the last word of a gateway, or its last name, within which it is not gone, whatever is lost.
-const SEEN_MILLIS: u64 = 2_500;
+/// Milliseconds since the last message or mention of a gateway within which it is not declared
+/// dead.
+const RECENT_CONTACT_MILLIS: u64 = 2_500;
 
-/// Milliseconds after which a name of a gateway that is gone is newer than its end: loaders name whoever asked them within
-/// [`PERIOD_MILLIS`] times five.
-const NAMED_LATE_MILLIS: u64 = 5 * PERIOD_MILLIS + ANSWER_MILLIS;
+/// Milliseconds by which a mention may lag behind: only one later than this after a death shows
+/// that the gateway is back.
+const MAX_MENTION_DELAY_MILLIS: u64 = 5 * PROBE_INTERVAL_MILLIS + REPLY_TIMEOUT_MILLIS;
 
-/// Milliseconds for which a gateway that is gone is remembered.
-const GONE_MEMORY_MILLIS: u64 = 60_000;
+/// Milliseconds for which a dead gateway is remembered.
+const DEAD_RETENTION_MILLIS: u64 = 60_000;
 
-/// News in one message: some 20 bytes each, so that a message stays below one packet.
-pub const MAX_NEWS: usize = 24;
+/// Maximum updates per message, at some 20 bytes each; keeps a message within one packet.
+pub const MAX_UPDATES: usize = 24;
 
-/// Milliseconds without a word of anybody after which a gateway is cut off, or stood still itself: four messages are usual
-/// in that time.
-const ALONE_MILLIS: u64 = 2 * PERIOD_MILLIS;
+/// Milliseconds without any message after which a gateway counts itself as isolated or suspended.
+const ISOLATION_MILLIS: u64 = 2 * PROBE_INTERVAL_MILLIS;
 
-/// Members that a message names beyond news, others each time: whatever was lost is made up for so.
-const NAMED_BESIDE: usize = 8;
+/// Live members added to each message beyond pending updates, in rotation; makes up for lost
+/// updates.
+const EXTRA_MEMBERS: usize = 8;
 
-/// Times that one gateway passes news on, for each doubling of the zone.
-const SENDS_A_DOUBLING: u32 = 2;
+/// Times that one gateway sends an update, per doubling of the zone.
+const SENDS_PER_DOUBLING: u32 = 2;
 
-/// Gateways of a zone that are remembered: names come from messages.
+/// Maximum members, as addresses come from messages.
 const MAX_MEMBERS: usize = 4_096;
 
-/// News of a gateway.
+/// A membership update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct News {
     /// Gateway.
     pub member: SocketAddr,
     /// Its incarnation.
     pub incarnation: u64,
-    /// True where it is gone.
+    /// True if it is dead.
     pub is_gone: bool,
 }
 
-/// A gateway of the zone.
+/// State of another gateway of the zone.
 #[derive(Debug, Clone, Copy)]
 struct Member {
     incarnation: u64,
-    /// When it was heard of last.
-    seen: Instant,
-    /// True where another found it gone since.
-    is_doubted: bool,
-    /// When it was found gone; none while it lives.
-    gone: Option<Instant>,
-    /// Times that its news are still to be passed on.
-    sends: u32,
+    /// Time of the last message or mention.
+    last_contact: Instant,
+    /// True if a peer has reported it dead since.
+    is_reported_dead: bool,
+    /// Time at which it was declared dead; none while alive.
+    dead_since: Option<Instant>,
+    /// Messages in which its update is still to be sent.
+    sends_left: u32,
 }
 
 impl Member {
-    const fn note_seen(&mut self, now: Instant) {
-        self.seen = now;
-        self.is_doubted = false;
+    const fn record_contact(&mut self, now: Instant) {
+        self.last_contact = now;
+        self.is_reported_dead = false;
     }
 }
 
-/// A probe that was not answered yet.
+/// A probe without a reply yet.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
     member: SocketAddr,
-    /// When the first of its repetitions was sent, and the last.
-    begun: Instant,
-    sent: Instant,
-    count: u32,
+    /// Times of the first and the last attempt.
+    first_sent: Instant,
+    last_sent: Instant,
+    attempts: u32,
 }
 
-/// What one gateway knows of those of its zone.
+/// A gateway's view of the other gateways in its zone.
 #[derive(Debug, Clone)]
 pub struct Liveness {
     own: SocketAddr,
     incarnation: u64,
     members: BTreeMap<SocketAddr, Member>,
-    /// Members that are still to be probed in this round, the next one last.
-    round: Vec<SocketAddr>,
-    rounds: u64,
+    /// Members still to be probed in this round, next one last.
+    unprobed: Vec<SocketAddr>,
+    round_count: u64,
     probes: Vec<Probe>,
-    probed: Instant,
-    /// When anybody was heard last.
-    heard: Instant,
-    /// Members that were named beside news so far.
-    named_beside: usize,
-    /// Members that were found gone since they were asked for.
-    ended: Vec<SocketAddr>,
+    last_probe: Instant,
+    /// Time of the last message from any gateway.
+    last_received: Instant,
+    /// Offset of the next rotation of extra members.
+    extra_offset: usize,
+    /// Members declared dead since the last [`Self::take_ended`].
+    newly_dead: Vec<SocketAddr>,
 }
 
 impl Liveness {
-    /// State of the gateway `own`, which starts now; `incarnation` should rise with each of its starts.
+    /// Creates the state of gateway `own`, which starts now; `incarnation` should rise with each of
+    /// its starts.
     pub const fn new(own: SocketAddr, incarnation: u64, now: Instant) -> Self {
         Self {
             own,
             incarnation,
             members: BTreeMap::new(),
-            round: Vec::new(),
-            rounds: 0,
+            unprobed: Vec::new(),
+            round_count: 0,
             probes: Vec::new(),
-            probed: now,
-            heard: now,
-            named_beside: 0,
-            ended: Vec::new(),
+            last_probe: now,
+            last_received: now,
+            extra_offset: 0,
+            newly_dead: Vec::new(),
         }
     }
 
-    /// Its incarnation.
+    /// Own incarnation.
     pub const fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Other gateways that live, as far as known.
+    /// Returns the other gateways that count as alive.
     pub fn living(&self) -> impl Iterator<Item = SocketAddr> {
-        let living = self.members.iter().filter(|(_, one)| one.gone.is_none());
+        let living = self
+            .members
+            .iter()
+            .filter(|(_, one)| one.dead_since.is_none());
         living.map(|(member, _)| *member)
     }
 
-    /// Gateways that are remembered, this one included, those that are gone as well.
+    /// Returns the number of known gateways, including this one and dead ones.
     pub fn known_count(&self) -> usize {
         self.members.len() + 1
     }
 
-    /// Notes that anybody was heard.
+    /// Records that any message arrived.
     pub fn note_heard(&mut self, now: Instant) {
-        self.heard = self.heard.max(now);
+        self.last_received = self.last_received.max(now);
     }
 
-    /// Notes a gateway that somebody named, who may have heard of it some time ago.
+    /// Records a mention of a gateway by a third party, which may be somewhat outdated.
     pub fn note_named(&mut self, member: SocketAddr, now: Instant) {
         match self.members.get_mut(&member) {
             None => self.add(member, 0, now),
             Some(known) => {
-                let is_newer = |gone: Instant| now.millis_since(gone) > NAMED_LATE_MILLIS;
-                if known.gone.is_some_and(is_newer) {
+                let is_newer =
+                    |dead_since: Instant| now.millis_since(dead_since) > MAX_MENTION_DELAY_MILLIS;
+                if known.dead_since.is_some_and(is_newer) {
                     self.revive(member, 0, now);
-                } else if known.gone.is_none() {
-                    known.note_seen(now);
+                } else if known.dead_since.is_none() {
+                    known.record_contact(now);
                 }
             }
         }
     }
 
-    /// Notes a message of `member` itself. One that counts as gone in that incarnation is told so with the next message to
-    /// it, and comes back with a higher one, which others believe as well.
+    /// Records a message from `member`. If it counts as dead in this incarnation, the next message
+    /// to it says so, and it returns with a higher one, which other gateways accept too.
     pub fn note_alive(&mut self, member: SocketAddr, incarnation: u64, now: Instant) {
         self.note_heard(now);
         if member == self.own {
@@ -189,12 +195,12 @@
             Some(known) if known.incarnation < incarnation => {
                 self.revive(member, incarnation, now);
             }
-            Some(known) if known.gone.is_none() => known.note_seen(now),
+            Some(known) if known.dead_since.is_none() => known.record_contact(now),
             Some(_) => {}
         }
     }
 
-    /// Takes news that another gateway passed on.
+    /// Applies updates from another gateway.
     pub fn take(&mut self, news: &[News], now: Instant) {
         for one in news {
             if one.member == self.own {
@@ -210,11 +216,11 @@
                     self.revive(one.member, one.incarnation, now);
                 }
                 (Some(known), true)
-                    if known.gone.is_none() && one.incarnation >= known.incarnation =>
+                    if known.dead_since.is_none() && one.incarnation >= known.incarnation =>
                 {
-                    match now.millis_since(known.seen) < SEEN_MILLIS {
-                        true => self.doubt(one.member),
-                        false => self.end(one.member, one.incarnation, now),
+                    match now.millis_since(known.last_contact) < RECENT_CONTACT_MILLIS {
+                        true => self.mark_reported_dead(one.member),
+                        false => self.mark_dead(one.member, one.incarnation, now),
                     }
                 }
                 (Some(_), _) => {}
@@ -222,22 +228,24 @@
         }
     }
 
-    /// Notes that another found a member gone that was heard of here lately.
-    fn doubt(&mut self, member: SocketAddr) {
+    /// Records a peer's report of a death that recent contact contradicts.
+    fn mark_reported_dead(&mut self, member: SocketAddr) {
         if let Some(known) = self.members.get_mut(&member) {
-            known.is_doubted = true;
+            known.is_reported_dead = true;
         }
     }
 
-    /// Ends the members that others found gone and that have not been heard of since.
-    fn end_doubted(&mut self, now: Instant) {
-        let is_over = |one: &Member| one.is_doubted && now.millis_since(one.seen) >= SEEN_MILLIS;
-        let over = self.members.iter().filter(|(_, one)| is_over(one));
-        let over: Vec<(SocketAddr, u64)> = over
+    /// Declares members dead that a peer reported dead and that had no contact since.
+    fn expire_reported_dead(&mut self, now: Instant) {
+        let is_expired = |one: &Member| {
+            one.is_reported_dead && now.millis_since(one.last_contact) >= RECENT_CONTACT_MILLIS
+        };
+        let expired = self.members.iter().filter(|(_, one)| is_expired(one));
+        let expired: Vec<(SocketAddr, u64)> = expired
             .map(|(member, one)| (*member, one.incarnation))
             .collect();
-        for (member, incarnation) in over {
-            self.end(member, incarnation, now);
+        for (member, incarnation) in expired {
+            self.mark_dead(member, incarnation, now);
         }
     }
 
@@ -247,166 +255,182 @@
         }
         let known = Member {
             incarnation,
-            seen: now,
-            is_doubted: false,
-            gone: None,
-            sends: self.send_count(),
+            last_contact: now,
+            is_reported_dead: false,
+            dead_since: None,
+            sends_left: self.initial_sends(),
         };
         self.members.insert(member, known);
     }
 
     fn revive(&mut self, member: SocketAddr, incarnation: u64, now: Instant) {
-        let sends = self.send_count();
+        let sends_left = self.initial_sends();
         if let Some(known) = self.members.get_mut(&member) {
-            // Others know its incarnation from itself, unless it had to deny its end.
-            let is_news = known.gone.is_some() || known.incarnation > 0;
+            // Without a refuted death, others learn the incarnation from the member itself.
+            let is_update = known.dead_since.is_some() || known.incarnation > 0;
             known.incarnation = known.incarnation.max(incarnation);
-            known.gone = None;
-            known.note_seen(now);
-            known.sends = if is_news { sends } else { known.sends };
+            known.dead_since = None;
+            known.record_contact(now);
+            known.sends_left = if is_update {
+                sends_left
+            } else {
+                known.sends_left
+            };
         }
     }
 
-    fn end(&mut self, member: SocketAddr, incarnation: u64, now: Instant) {
-        let sends = self.send_count();
+    fn mark_dead(&mut self, member: SocketAddr, incarnation: u64, now: Instant) {
+        let sends_left = self.initial_sends();
         if let Some(known) = self.members.get_mut(&member) {
             known.incarnation = known.incarnation.max(incarnation);
-            known.gone = Some(now);
-            known.is_doubted = false;
-            known.sends = sends;
-            self.ended.push(member);
+            known.dead_since = Some(now);
+            known.is_reported_dead = false;
+            known.sends_left = sends_left;
+            self.newly_dead.push(member);
         }
         self.probes.retain(|probe| probe.member != member);
     }
 
-    /// Members that were found gone since this was asked last.
+    /// Returns the members that were declared dead since the last call.
     pub fn take_ended(&mut self) -> Vec<SocketAddr> {
-        std::mem::take(&mut self.ended)
+        std::mem::take(&mut self.newly_dead)
     }
 
-    fn send_count(&self) -> u32 {
-        (self.members.len() as u32 + 2).ilog2() * SENDS_A_DOUBLING
+    fn initial_sends(&self) -> u32 {
+        (self.members.len() as u32 + 2).ilog2() * SENDS_PER_DOUBLING
     }
 
-    /// Gateways to probe now.
+    /// Returns the gateways to probe now.
     pub fn poll(&mut self, now: Instant) -> Vec<SocketAddr> {
-        self.end_doubted(now);
-        let mut probed = self.repeat(now);
-        let waiting = self.members.values().filter(|known| known.sends > 0);
-        let period = match waiting.count() > MAX_NEWS {
-            true => NEWS_PERIOD_MILLIS,
-            false => PERIOD_MILLIS,
+        self.expire_reported_dead(now);
+        let mut targets = self.retry_probes(now);
+        let pending = self.members.values().filter(|known| known.sends_left > 0);
+        let interval = match pending.count() > MAX_UPDATES {
+            true => BACKLOG_PROBE_INTERVAL_MILLIS,
+            false => PROBE_INTERVAL_MILLIS,
         };
-        if now.millis_since(self.probed) >= period {
-            self.probed = now;
-            self.forget(now);
-            if let Some(member) = self.next_of_round() {
+        if now.millis_since(self.last_probe) >= interval {
+            self.last_probe = now;
+            self.drop_expired(now);
+            if let Some(member) = self.next_to_probe() {
                 let is_probed = self.probes.iter().any(|probe| probe.member == member);
                 if !is_probed {
                     self.probes.push(Probe {
                         member,
-                        begun: now,
-                        sent: now,
-                        count: 1,
+                        first_sent: now,
+                        last_sent: now,
+                        attempts: 1,
                     });
-                    probed.push(member);
+                    targets.push(member);
                 }
             }
         }
-        probed
+        targets
     }
 
-    /// Members whose probes were not answered in time, to be probed again; those that answered none are gone.
-    fn repeat(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let heard = self.heard;
-        let mut again = Vec::new();
-        let mut gone = Vec::new();
+    /// Returns the members to probe again after a timeout; declares those dead that exhausted their
+    /// attempts.
+    fn retry_probes(&mut self, now: Instant) -> Vec<SocketAddr> {
+        let last_received = self.last_received;
+        let mut to_retry = Vec::new();
+        let mut dead = Vec::new();
         for probe in &mut self.probes {
-            if now.millis_since(probe.sent) < ANSWER_MILLIS {
+            if now.millis_since(probe.last_sent) < REPLY_TIMEOUT_MILLIS {
                 continue;
             }
-            let is_cut_off = now.millis_since(heard) >= ALONE_MILLIS;
-            let is_alone = is_cut_off || heard < probe.begun;
-            let seen = self.members.get(&probe.member).map(|known| known.seen);
-            let is_seen = seen.is_some_and(|seen| now.millis_since(seen) < SEEN_MILLIS);
-            if probe.count >= MAX_PROBES && !is_alone && !is_seen {
-                gone.push(probe.member);
+            let is_isolated = now.millis_since(last_received) >= ISOLATION_MILLIS;
+            let is_inconclusive = is_isolated || last_received < probe.first_sent;
+            let last_contact = self
+                .members
+                .get(&probe.member)
+                .map(|known| known.last_contact);
+            let had_recent_contact = last_contact
+                .is_some_and(|last_contact| now.millis_since(last_contact) < RECENT_CONTACT_MILLIS);
+            if probe.attempts >= MAX_PROBE_ATTEMPTS && !is_inconclusive && !had_recent_contact {
+                dead.push(probe.member);
                 continue;
             }
-            probe.sent = now;
-            probe.count += 1;
-            if is_cut_off {
-                probe.begun = now;
-                probe.count = 1;
+            probe.last_sent = now;
+            probe.attempts += 1;
+            if is_isolated {
+                probe.first_sent = now;
+                probe.attempts = 1;
             }
-            again.push(probe.member);
+            to_retry.push(probe.member);
         }
-        for member in gone {
+        for member in dead {
             let incarnation = self.members.get(&member).map_or(0, |one| one.incarnation);
-            self.end(member, incarnation, now);
+            self.mark_dead(member, incarnation, now);
         }
-        again
+        to_retry
     }
 
-    fn next_of_round(&mut self) -> Option<SocketAddr> {
+    fn next_to_probe(&mut self) -> Option<SocketAddr> {
         loop {
-            if self.round.is_empty() {
-                self.rounds += 1;
-                self.round = self.living().collect();
-                let subject = order::mix(order::hash(&self.own) ^ self.rounds);
-                order::sort_by_score(subject, &mut self.round, order::hash);
+            if self.unprobed.is_empty() {
+                self.round_count += 1;
+                self.unprobed = self.living().collect();
+                let subject = order::mix(order::hash(&self.own) ^ self.round_count);
+                order::sort_by_score(subject, &mut self.unprobed, order::hash);
             }
-            let member = self.round.pop()?;
-            if self.members.get(&member)?.gone.is_none() {
+            let member = self.unprobed.pop()?;
+            if self.members.get(&member)?.dead_since.is_none() {
                 return Some(member);
             }
         }
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn drop_expired(&mut self, now: Instant) {
         let is_kept = |one: &Member| {
-            let is_over = |gone: Instant| now.millis_since(gone) >= GONE_MEMORY_MILLIS;
-            !one.gone.is_some_and(is_over)
+            let is_expired =
+                |dead_since: Instant| now.millis_since(dead_since) >= DEAD_RETENTION_MILLIS;
+            !one.dead_since.is_some_and(is_expired)
         };
         self.members.retain(|_, one| is_kept(one));
     }
 
-    /// News to pass on in a message to `receiver`: what it must know of itself, then those that were passed on least.
+    /// Returns the updates for a message to `receiver`: its own death if it counts as dead, then
+    /// the least often sent updates.
     pub fn news_for(&mut self, receiver: SocketAddr) -> Vec<News> {
         let news = |(member, known): (&SocketAddr, &Member)| News {
             member: *member,
             incarnation: known.incarnation,
-            is_gone: known.gone.is_some(),
+            is_gone: known.dead_since.is_some(),
         };
         let own = News {
             member: self.own,
             incarnation: self.incarnation,
             is_gone: false,
         };
-        let about = self.members.get_key_value(&receiver);
-        let about = about.filter(|(_, known)| known.gone.is_some()).map(news);
-        let mut told: Vec<News> = about.into_iter().chain([own]).collect();
-        let waiting = self.members.iter_mut().filter(|(_, known)| known.sends > 0);
-        let mut waiting: Vec<(&SocketAddr, &mut Member)> = waiting.collect();
-        waiting.sort_by_key(|(_, known)| std::cmp::Reverse(known.sends));
-        for (member, known) in waiting
+        let receiver_update = self.members.get_key_value(&receiver);
+        let receiver_update = receiver_update
+            .filter(|(_, known)| known.dead_since.is_some())
+            .map(news);
+        let mut updates: Vec<News> = receiver_update.into_iter().chain([own]).collect();
+        let pending = self
+            .members
+            .iter_mut()
+            .filter(|(_, known)| known.sends_left > 0);
+        let mut pending: Vec<(&SocketAddr, &mut Member)> = pending.collect();
+        pending.sort_by_key(|(_, known)| std::cmp::Reverse(known.sends_left));
+        for (member, known) in pending
             .into_iter()
-            .take(MAX_NEWS - NAMED_BESIDE - told.len())
+            .take(MAX_UPDATES - EXTRA_MEMBERS - updates.len())
         {
-            known.sends -= 1;
-            told.push(news((member, known)));
+            known.sends_left -= 1;
+            updates.push(news((member, known)));
         }
-        let beside = self.living_from(self.named_beside).take(NAMED_BESIDE);
-        told.extend(beside.map(news));
-        self.named_beside += NAMED_BESIDE;
-        told
+        let extra = self.living_from(self.extra_offset).take(EXTRA_MEMBERS);
+        updates.extend(extra.map(news));
+        self.extra_offset += EXTRA_MEMBERS;
+        updates
     }
 
-    /// Members that live, beginning with the one of that number among all.
+    /// Returns the live members, starting with the given index among all.
     fn living_from(&self, number: usize) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         let start = number % self.members.len().max(1);
         let members = self.members.iter().cycle().skip(start);
         let all_once = members.take(self.members.len());
-        all_once.filter(|(_, known)| known.gone.is_none())
+        all_once.filter(|(_, known)| known.dead_since.is_none())
     }
 }
--- a/crates/gingerpier_serving/src/mark.rs
+++ b/crates/gingerpier_serving/src/mark.rs
@@ -1,35 +1,37 @@
-//! What makes two requests the same one, whoever brings them and wherever they come.
+//! Fingerprint by which retries of the same request are recognized.
 //!
-//! A caller whose request failed comes back with a new id, on a new connection, at any gateway. What stays is where the
-//! request goes, who asks and what is asked.
+//! A client retries with a new request id, on a new connection and at any gateway; destination,
+//! client account and body stay the same.
 
 use std::fmt;
 
-/// Bytes of a mark: enough that nobody makes two requests with one mark on purpose.
+/// Length of a fingerprint in bytes; long enough against deliberate collisions.
 pub const LENGTH: usize = 16;
 
-/// Bytes of a mark that logs show.
-const SHOWN: usize = 4;
+/// Bytes of a fingerprint that logs show.
+const DISPLAYED_BYTES: usize = 4;
 
-/// Digest of a request, the same each time that it comes.
+/// Digest of a request that is equal for all its retries.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Mark(pub [u8; LENGTH]);
 
-/// What a request is known by.
+/// Parts of a request that are equal for all its retries.
 #[derive(Debug, Clone, Copy)]
 pub struct Subject<'a> {
-    /// Host: the same path is another thing at another host.
+    /// Host, compared without case.
     pub host: &'a str,
-    /// Path with its query, which may be all that tells requests without a body apart.
+    /// Path and query.
     pub target: &'a [u8],
-    /// Client account, not its key, which may be renewed between two tries; empty where there are none.
+    /// Client account, not its API key, which may be rotated between retries; empty if there is
+    /// none.
     pub account: &'a str,
     /// Body.
     pub body: &'a [u8],
 }
 
 impl Mark {
-    /// Mark of a request. Its id and time left differ with each try, and its other headers may; so they are left out.
+    /// Computes the fingerprint. Request id, deadline and other headers are left out, as they may
+    /// differ between retries.
     pub fn of(subject: &Subject<'_>) -> Self {
         let host = subject.host.to_ascii_lowercase();
         let parts = [
@@ -40,7 +42,7 @@
         ];
         let mut hasher = blake3::Hasher::new();
         for part in parts {
-            // Lengths keep parts from running into each other.
+            // The length prefix keeps adjacent parts apart.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -49,17 +51,17 @@
         Self(bytes)
     }
 
-    /// True where its text begins with `prefix`.
+    /// Returns true if the hexadecimal form begins with `prefix`.
     pub fn begins_with(&self, prefix: &str) -> bool {
-        let whole: String = self.0.iter().map(|byte| format!("{byte:02x}")).collect();
-        whole.starts_with(prefix)
+        let hexadecimal: String = self.0.iter().map(|byte| format!("{byte:02x}")).collect();
+        hexadecimal.starts_with(prefix)
     }
 }
 
-/// A short prefix, as logs show it.
+/// Writes a short hexadecimal prefix for logs.
 impl fmt::Display for Mark {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for byte in &self.0[..SHOWN] {
+        for byte in &self.0[..DISPLAYED_BYTES] {
             write!(formatter, "{byte:02x}")?;
         }
         Ok(())
--- a/crates/gingerpier_serving/src/mirror.rs
+++ b/crates/gingerpier_serving/src/mirror.rs
@@ -1,199 +1,208 @@
-//! A mirror of what the platform's store holds, whose revision only rises.
+//! Replica of the platform's store, whose revision only rises.
 //!
-//! Items come from a full read, from changes, or from a peer. Whatever is older than what is
-//! here changes nothing, so a read that lags or a peer that was cut off can't take back what was
-//! in force.
+//! Items come from a full read, from a watch or from a peer. Older input than the replica changes
+//! nothing, so a stale read or a peer that was cut off can't undo a newer write.
 //!
-//! Whoever lists an item writes it again and again, to show that it is still there. An item with the same value is no
-//! news: it is neither read anew here nor told to those who follow, so that what a follower is told grows with changes
-//! and not with the number of items.
+//! Engines rewrite their entries as a heartbeat. Rewrites of an equal value are not changes: they
+//! are neither parsed again nor sent to followers, so traffic grows with changes and not with the
+//! number of items.
 
 use std::{collections::BTreeMap, rc::Rc};
 
-/// A revision of the store.
+/// Revision of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Revision(pub u64);
 
-/// One item.
+/// Item of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
     /// Key.
     pub key: String,
-    /// Revision of its last change.
+    /// Revision of the last write.
     pub revision: Revision,
-    /// Value; none where the key is gone.
+    /// Value; none if the key was deleted.
     pub value: Option<Rc<[u8]>>,
 }
 
-/// What changed.
+/// Items that changed, deletions included.
 pub type Changes = Vec<Item>;
 
-/// Keys that went that are remembered.
-const MOST_GONE: usize = 2_000;
+/// Deletions kept for followers.
+const MAX_DELETIONS: usize = 2_000;
 
 #[derive(Debug, Clone)]
-struct Held {
+struct StoredItem {
     revision: Revision,
-    /// Revision at which its value became what it is.
-    changed: Revision,
+    /// Revision at which the value last changed.
+    changed_at: Revision,
     value: Rc<[u8]>,
 }
 
-/// Where changes come from.
+/// Origin of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    /// From the store, none left out.
-    Writes,
-    /// From a copy or a peer: an item may have gone and come back meanwhile.
-    Told,
+    /// A watch of the store, without gaps.
+    Gapless,
+    /// A copy or a peer: a key may have been deleted and written again in between.
+    WithGaps,
 }
 
-/// What is known of the store.
+/// Replica of the store.
 #[derive(Debug, Clone, Default)]
 pub struct Mirror {
     at: Revision,
-    /// Revision from which on every key that went is known.
-    since: Revision,
-    items: BTreeMap<String, Held>,
-    /// Revisions at which keys went.
-    gone: BTreeMap<String, Revision>,
-    /// Changes that were news.
+    /// Revision from which on all deletions are known.
+    deletions_known_since: Revision,
+    items: BTreeMap<String, StoredItem>,
+    /// Deleted keys, with the revision of the deletion.
+    deletions: BTreeMap<String, Revision>,
+    /// Effective changes so far.
     change_count: u64,
 }
 
 impl Mirror {
-    /// Revision up to which everything is known.
+    /// Returns the revision up to which the replica is complete.
     pub const fn at(&self) -> Revision {
         self.at
     }
 
-    /// Changes that were news so far: two mirrors of one process that differ have different counts.
+    /// Returns the number of effective changes so far, as a version of the content within this
+    /// process.
     pub const fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// Items held.
+    /// Returns all items.
     pub fn items(&self) -> impl Iterator<Item = Item> {
-        self.items.iter().map(|(key, held)| Item {
+        self.items.iter().map(|(key, stored)| Item {
             key: key.clone(),
-            revision: held.revision,
-            value: Some(held.value.clone()),
+            revision: stored.revision,
+            value: Some(stored.value.clone()),
         })
     }
 
-    /// What changed behind `after`, keys that went included, but not what was only written again; none where that is not
-    /// known, and only a whole copy tells.
+    /// Returns the changes after revision `after`, without rewrites of equal values; none if the
+    /// history doesn't reach back that far and a full copy is needed.
     pub fn changes_after(&self, after: Revision) -> Option<Changes> {
-        if after < self.since {
+        if after < self.deletions_known_since {
             return None;
         }
-        let held = self.items.iter().filter(|(_, held)| held.changed > after);
-        let held = held.map(|(key, held)| Item {
+        let stored = self
+            .items
+            .iter()
+            .filter(|(_, stored)| stored.changed_at > after);
+        let stored = stored.map(|(key, stored)| Item {
             key: key.clone(),
-            revision: held.revision,
-            value: Some(held.value.clone()),
+            revision: stored.revision,
+            value: Some(stored.value.clone()),
         });
-        let gone = self.gone.iter().map(|(key, revision)| Item {
+        let deletions = self.deletions.iter().map(|(key, revision)| Item {
             key: key.clone(),
             revision: *revision,
             value: None,
         });
         Some(
-            held.chain(gone.filter(|item| item.revision > after))
+            stored
+                .chain(deletions.filter(|item| item.revision > after))
                 .collect(),
         )
     }
 
-    /// Takes changes that reach to `at`; gives those that were news. Keys may have gone and come back between them.
+    /// Applies changes up to revision `at` that may have gaps; returns the effective ones.
     pub fn apply(&mut self, changes: Changes, at: Revision) -> Changes {
-        self.apply_from(Source::Told, changes, at)
+        self.apply_from(Source::WithGaps, changes, at)
     }
 
-    /// Takes all writes up to `at` behind what is here, as a watch of the store brings them; gives those that were news.
+    /// Applies all writes up to revision `at`, without gaps, as a watch delivers them; returns the
+    /// effective ones.
     pub fn apply_writes(&mut self, writes: Changes, at: Revision) -> Changes {
-        self.apply_from(Source::Writes, writes, at)
+        self.apply_from(Source::Gapless, writes, at)
     }
 
     fn apply_from(&mut self, source: Source, changes: Changes, at: Revision) -> Changes {
         let changes = changes.into_iter();
-        let news = changes.filter(|item| self.take(source, item)).collect();
-        self.forget_oldest();
+        let effective = changes
+            .filter(|item| self.apply_item(source, item))
+            .collect();
+        self.drop_oldest_deletions();
         self.at = self.at.max(at);
-        news
+        effective
     }
 
-    /// Takes a whole copy as of `at`; gives what was news, items that have gone included. An
-    /// older copy than what is here changes nothing.
+    /// Replaces the content by a full copy at revision `at`; returns the effective changes,
+    /// deletions included. Ignores a copy older than the replica.
     pub fn replace(&mut self, items: Vec<Item>, at: Revision) -> Changes {
         if at < self.at {
             return Vec::new();
         }
-        let missing: Vec<String> = {
+        let missing_keys: Vec<String> = {
             let present: std::collections::BTreeSet<&str> =
                 items.iter().map(|item| item.key.as_str()).collect();
-            let absent = |key: &&String| !present.contains(key.as_str());
-            self.items.keys().filter(absent).cloned().collect()
+            let is_absent = |key: &&String| !present.contains(key.as_str());
+            self.items.keys().filter(is_absent).cloned().collect()
         };
-        let gone = missing.into_iter().map(|key| Item {
+        let deletions = missing_keys.into_iter().map(|key| Item {
             key,
             revision: at,
             value: None,
         });
-        let changes = items.into_iter().chain(gone).collect();
-        // Keys may have come and gone between what was here and this copy.
-        self.since = at;
+        let changes = items.into_iter().chain(deletions).collect();
+        // Keys may have been written and deleted between the replica's revision and this copy.
+        self.deletions_known_since = at;
         self.apply(changes, at)
     }
 
-    fn take(&mut self, source: Source, item: &Item) -> bool {
-        let held = self.items.get(&item.key).map(|held| held.revision);
-        let gone = self.gone.get(&item.key).copied();
-        let newest = held.max(gone).unwrap_or_default();
-        // A key may go at the very revision up to which a copy was read.
-        let is_news = item.revision > newest || (item.value.is_none() && item.revision == newest);
-        if !is_news {
+    fn apply_item(&mut self, source: Source, item: &Item) -> bool {
+        let stored_revision = self.items.get(&item.key).map(|stored| stored.revision);
+        let deletion_revision = self.deletions.get(&item.key).copied();
+        let newest_revision = stored_revision.max(deletion_revision).unwrap_or_default();
+        // A key may be deleted at the very revision up to which a copy was read.
+        let is_newer = item.revision > newest_revision
+            || (item.value.is_none() && item.revision == newest_revision);
+        if !is_newer {
             return false;
         }
-        if let (Some(held), Some(value)) = (self.items.get_mut(&item.key), &item.value)
-            && held.value == *value
+        if let (Some(stored), Some(value)) = (self.items.get_mut(&item.key), &item.value)
+            && stored.value == *value
         {
-            held.revision = item.revision;
-            // Whoever saw it go must be told that it is back.
-            if source == Source::Told {
-                held.changed = item.revision;
+            stored.revision = item.revision;
+            // A follower that saw the deletion must learn that the key is back.
+            if source == Source::WithGaps {
+                stored.changed_at = item.revision;
             }
             return false;
         }
         self.change_count += 1;
         match &item.value {
             Some(value) => {
-                let held = Held {
+                let stored = StoredItem {
                     revision: item.revision,
-                    changed: item.revision,
+                    changed_at: item.revision,
                     value: value.clone(),
                 };
-                self.gone.remove(&item.key);
-                self.items.insert(item.key.clone(), held);
+                self.deletions.remove(&item.key);
+                self.items.insert(item.key.clone(), stored);
             }
             None => {
-                // Others may hold a key that never was here, and are told from here that it went.
-                self.gone.insert(item.key.clone(), item.revision);
+                // A follower may hold a key that was never here, and needs the deletion too.
+                self.deletions.insert(item.key.clone(), item.revision);
                 return self.items.remove(&item.key).is_some();
             }
         }
         true
     }
 
-    /// Forgets the oldest of too many keys that went: what changed since then is not known whole.
-    fn forget_oldest(&mut self) {
-        while self.gone.len() > MOST_GONE {
-            let oldest = self.gone.iter().min_by_key(|(_, revision)| **revision);
+    /// Drops the oldest deletions beyond [`MAX_DELETIONS`]; changes before the last one dropped are
+    /// then no longer complete.
+    fn drop_oldest_deletions(&mut self) {
+        while self.deletions.len() > MAX_DELETIONS {
+            let oldest = self.deletions.iter().min_by_key(|(_, revision)| **revision);
             let Some((key, revision)) = oldest.map(|(key, revision)| (key.clone(), *revision))
             else {
                 return;
             };
-            self.gone.remove(&key);
-            self.since = self.since.max(revision);
+            self.deletions.remove(&key);
+            self.deletions_known_since = self.deletions_known_since.max(revision);
         }
     }
 }
--- a/crates/gingerpier_serving/src/naming.rs
+++ b/crates/gingerpier_serving/src/naming.rs
@@ -1,152 +1,161 @@
-//! From which moment the bound of named weights counts.
+//! Tracks released weights and the time from which the rollout bound counts.
 //!
-//! The bound runs from the store's acknowledgement, which no process sees: it hears of the naming
-//! later, over links that may be full and through processes that pause between questions. So it
-//! counts from the earliest moment at which the naming can have happened, which is the last one at
-//! which what it knew was all that the store held ([`Freshness`]). An answer proves what the store
-//! held when the call was sent, and no more: the store may have made it at once, and sent it for
-//! seconds. Who hears from another process adds what that one says of itself ([`Told`]).
+//! The bound runs from the store's acknowledgement of a release, which no process observes; a
+//! release is noticed later, over links that may be congested and between polls. So the bound
+//! counts from the earliest possible time of the release: the last time at which the local copy was
+//! known to be complete ([`Freshness`]). A response only proves what the store held when the
+//! request was sent. A peer adds the age of its own copy ([`Told`]).
 //!
-//! Each of those that tell of a naming knows a moment before which it can't have happened, so the latest of
-//! these counts; of the words of one of them, which are repeated, the one that was least on its way.
+//! Each source has its own lower bound of the release time, and the latest of them counts. A source
+//! that reports repeatedly counts with its earliest bound, as that report had the least delay.
 
 use {crate::report::Version, gingerpier_base::Instant};
 
-/// Most milliseconds by which a naming is taken to lie before it was heard of. A process that has
-/// lacked the store for 3 s is not held to the bound; one that counted further back would close engines
-/// before newer weights can be there, which take some 3 s to come to 20 engines.
-const MOST_BACK_MILLIS: u64 = 2_000;
+/// Longest time by which a release is assumed to precede its discovery, so that engines keep time
+/// to fetch the new weights.
+const MAX_BACKDATE_MILLIS: u64 = 2_000;
 
-/// The bound divided by the most that this takes of it: the rest is for bringing the weights and for
-/// engines' turns.
-const MOST_BACK_DIVISOR: u64 = 3;
+/// Divisor of the bound that also limits the time before the discovery; the rest is left for
+/// fetching weights and for staggered updates.
+const BACKDATE_BOUND_DIVISOR: u64 = 3;
 
-/// Milliseconds before the operators' bound at which older weights serve no more: the longest way seen from the
-/// choice of an engine to the start there was 1.4 s, through a queue that had just filled, and a choice reckons
-/// with 0.4 s of it; 0.2 s are to spare. That a naming is heard of late is counted by itself.
-const VERSION_MARGIN_MILLIS: u64 = 1_200;
+/// Milliseconds before the operators' bound at which older weights stop serving: the time that a
+/// request may take from the choice of an engine to its start there.
+const START_MARGIN_MILLIS: u64 = 1_200;
 
-/// Milliseconds from the moment at which a process began to run for which older weights may serve behind a naming
-/// that may be long past: by then it counts as one that has the store.
-const BREAK_GRACE_MILLIS: u64 = 3_000;
+/// Milliseconds after the start of a process for which older weights may serve where the release
+/// may precede that start.
+const RESTART_GRACE_MILLIS: u64 = 3_000;
 
-/// What another process says of how fresh the knowledge is that it passes on.
+/// Age of the data that a peer returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Told {
-    /// Milliseconds for which it kept the question until it answered.
+    /// Milliseconds for which the peer held the request before it responded.
     pub held_millis: u64,
-    /// Milliseconds, when it answered, since what it knows was all that the store held.
+    /// Milliseconds, at the time of the response, since the peer's copy was known to be complete.
     pub age_millis: u64,
 }
 
-/// Last moment at which what a process knows was certainly all that the store held.
+/// Last time at which the local copy of the store was known to be complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Freshness(Option<Instant>);
 
 impl Freshness {
-    /// Notes that all was taken in which the store answered to a call that was sent at `asked`.
+    /// Records that a response of the store to a request sent at `asked` was applied.
     pub fn note_answer(&mut self, asked: Instant) {
         self.0 = self.0.max(Some(asked));
     }
 
-    /// Notes that all was taken in which another process answered by `now` to a question that was
-    /// sent at `asked`: no earlier than it had kept the question.
+    /// Records that a peer's response, received at `now` to a request sent at `asked`, was applied.
     pub fn note_told(&mut self, asked: Instant, told: Told, now: Instant) {
         let answered = asked.after_millis(told.held_millis).min(now);
         let fresh = answered.as_millis().saturating_sub(told.age_millis);
         self.note_answer(Instant::from_millis(fresh));
     }
 
-    /// Milliseconds since that moment; none where there was none.
+    /// Returns the milliseconds since the copy was known to be complete; none if it never was.
     pub fn age(self, now: Instant) -> Option<u64> {
         self.0.map(|fresh| now.millis_since(fresh))
     }
 
-    /// Earliest moment at which weights that are heard of only `now` can have been named, as far back
-    /// as that counts where the bound is `within_millis`.
+    /// Returns the earliest possible release time of weights discovered at `now`, limited by how
+    /// far back the bound of `within_millis` counts.
     pub fn earliest(self, within_millis: u64, now: Instant) -> Instant {
-        let most_back = MOST_BACK_MILLIS.min(within_millis / MOST_BACK_DIVISOR);
-        let farthest = Instant::from_millis(now.as_millis().saturating_sub(most_back));
-        self.0.map_or(farthest, |fresh| fresh.clamp(farthest, now))
+        let max_backdate = MAX_BACKDATE_MILLIS.min(within_millis / BACKDATE_BOUND_DIVISOR);
+        let earliest_counted = Instant::from_millis(now.as_millis().saturating_sub(max_backdate));
+        self.0
+            .map_or(earliest_counted, |fresh| fresh.clamp(earliest_counted, now))
     }
 
-    /// When older weights come due behind a naming that is heard of now, where it may have been made before this
-    /// process began to run at `running_since`, at its start or after a standstill; none where it was made later. A
-    /// copy that is there already proves nothing: it may be empty, or an old one of a neighbour that is cut off.
+    /// Returns when older weights expire if the release may precede `running_since`, the start of
+    /// this process or its resumption after a suspension; none if it was later. An existing copy
+    /// proves nothing, as it may be empty or stale.
     pub fn due_after_break(self, running_since: Instant, within_millis: u64) -> Option<Instant> {
-        let back = running_since.after_millis(BREAK_GRACE_MILLIS);
+        let grace_until = running_since.after_millis(RESTART_GRACE_MILLIS);
         match self.0 {
             Some(fresh) if fresh >= running_since => None,
-            Some(fresh) => Some(back.max(fresh.after_millis(patience(within_millis)))),
-            None => Some(back),
+            Some(fresh) => Some(grace_until.max(fresh.after_millis(serving_millis(within_millis)))),
+            None => Some(grace_until),
         }
     }
 }
 
-/// Named weights.
+/// Released weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Naming {
     /// Version.
     pub version: Version,
-    /// When they were first heard of.
+    /// Time of discovery.
     pub heard: Instant,
-    /// Earliest moment at which they can have been named, from which the bound counts.
+    /// Earliest possible release time, from which the bound counts.
     pub at: Instant,
-    /// When older weights come due where they may have been named before this process began to run.
+    /// When older weights expire, if the release may precede the start of this process.
     pub due_after_break: Option<Instant>,
 }
 
 impl Naming {
-    /// From when on older weights may start nothing, where the bound is `within_millis`.
+    /// Returns the time from which on older weights may start no request, for a bound of
+    /// `within_millis`.
     pub fn due_at(&self, within_millis: u64) -> Instant {
         self.due_after_break
-            .unwrap_or_else(|| self.at.after_millis(patience(within_millis)))
+            .unwrap_or_else(|| self.at.after_millis(serving_millis(within_millis)))
     }
 }
 
-/// Milliseconds from a naming for which older weights serve.
-const fn patience(within_millis: u64) -> u64 {
-    within_millis.saturating_sub(VERSION_MARGIN_MILLIS)
+/// Returns the milliseconds after a release for which older weights may serve.
+const fn serving_millis(within_millis: u64) -> u64 {
+    within_millis.saturating_sub(START_MARGIN_MILLIS)
 }
 
-/// Who told of a naming, as any number that is its own.
+/// Process that reported a release, by any unique number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Teller(pub u64);
 
-/// This process itself, by its own answers of the store.
+/// This process, by its own responses from the store.
 pub const OWN: Teller = Teller(0);
 
-/// Tellers of one naming that are remembered.
-const MOST_TELLERS: usize = 64;
+/// Sources kept per release.
+const MAX_SOURCES: usize = 64;
 
-/// A naming, and the earliest moment at which it can have happened by each teller's word.
+/// A release, with the earliest possible release time by each source.
 #[derive(Debug, Clone)]
 struct Entry {
     naming: Naming,
-    words: Vec<(Teller, Instant)>,
+    earliest_by_source: Vec<(Teller, Instant)>,
 }
 
 impl Entry {
-    fn take(&mut self, teller: Teller, earliest: Instant) {
-        let place = self.words.iter().position(|(known, _)| *known == teller);
+    fn record_source(&mut self, teller: Teller, earliest: Instant) {
+        let place = self
+            .earliest_by_source
+            .iter()
+            .position(|(known, _)| *known == teller);
         match place {
-            Some(place) => self.words[place].1 = earliest.min(self.words[place].1),
-            None if self.words.len() < MOST_TELLERS => self.words.push((teller, earliest)),
+            Some(place) => {
+                self.earliest_by_source[place].1 = earliest.min(self.earliest_by_source[place].1)
+            }
+            None if self.earliest_by_source.len() < MAX_SOURCES => {
+                self.earliest_by_source.push((teller, earliest))
+            }
             None => return,
         }
-        let latest = self.words.iter().map(|(_, earliest)| *earliest).max();
+        let latest = self
+            .earliest_by_source
+            .iter()
+            .map(|(_, earliest)| *earliest)
+            .max();
         let heard = self.naming.heard;
         self.naming.at = latest.map_or(heard, |latest| latest.min(heard));
     }
 }
 
-/// Weights of one model that were named, by rising version.
+/// Released weights of one model, by rising version.
 #[derive(Debug, Clone, Default)]
 pub struct Namings(Vec<Entry>);
 
 impl Namings {
-    /// Takes the word of `teller`, heard `now`, that `version` was named at `earliest` or later; true where
-    /// it is newer than all that were known.
+    /// Records a report by `teller` at `now` that `version` was released at `earliest` or later;
+    /// returns true if it is newer than all known versions.
     pub fn note(
         &mut self,
         version: Version,
@@ -156,7 +165,7 @@
     ) -> bool {
         let mut known = self.0.iter_mut();
         if let Some(known) = known.find(|known| known.naming.version == version) {
-            known.take(teller, earliest);
+            known.record_source(teller, earliest);
             return false;
         }
         if self.newest().is_some_and(|newest| newest.version > version) {
@@ -169,26 +178,27 @@
                 at: now,
                 due_after_break: None,
             },
-            words: Vec::new(),
+            earliest_by_source: Vec::new(),
         };
-        entry.take(teller, earliest);
+        entry.record_source(teller, earliest);
         self.0.push(entry);
         true
     }
 
-    /// Notes when older weights come due behind the newest.
+    /// Sets when weights older than the newest release expire, if it may precede the start of this
+    /// process.
     pub fn note_break(&mut self, due: Option<Instant>) {
         if let Some(newest) = self.0.last_mut() {
             newest.naming.due_after_break = due;
         }
     }
 
-    /// The newest.
+    /// Returns the newest release.
     pub fn newest(&self) -> Option<&Naming> {
         self.0.last().map(|entry| &entry.naming)
     }
 
-    /// Each of them.
+    /// Returns all releases, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &Naming> {
         self.0.iter().map(|entry| &entry.naming)
     }
--- a/crates/gingerpier_serving/src/outage.rs
+++ b/crates/gingerpier_serving/src/outage.rs
@@ -1,14 +1,15 @@
-//! Whether an entry that is missing in the store means that its engine has left.
+//! Decides whether an engine entry that is missing in the store was removed or merely expired
+//! during an outage.
 //!
-//! While the store is away, engines can't renew their entries, and some lapse. On its return all that
-//! a gateway hears is that keys are gone; engines that live write them again within about two seconds. To take
-//! them off at once leaves callers without engines meanwhile.
+//! While the store is unreachable, engines can't renew their entries, and some expire. After the
+//! store's recovery a gateway sees only deleted keys, although running engines write them again
+//! within about two seconds.
 //!
-//! The revision at which the store's first answer finds it divides the two cases: what went up to there may have
-//! lapsed, and what goes behind it was taken away by a store that is up. A list tells no revision of
-//! what it lacks, so nothing that it lacks counts in those two seconds.
+//! Deletions up to the revision of the first response after an outage may be expired entries and
+//! are excused; later ones are removals. A list has no revisions for missing keys, so all that it
+//! lacks are excused.
 //!
-//! Whether the store was away is known from calls that failed, or from another gateway whose calls did.
+//! An outage is detected by failed requests of this gateway, or reported by a peer.
 //!
 //! ```
 //! use gingerpier_base::Instant;
@@ -31,106 +32,109 @@
 
 use {crate::mirror::Revision, gingerpier_base::Instant};
 
-/// Milliseconds from the store's return within which engines that live have written their entries
-/// again. An engine that left serves on for two seconds at least, so none that did is sent work for longer.
-const BACK_MILLIS: u64 = 2_000;
+/// Milliseconds after a recovery within which running engines have written their entries again.
+const REWRITE_MILLIS: u64 = 2_000;
 
-/// Most milliseconds between a call that failed and the next one: the store may return right behind the first, and is
-/// noticed with the second.
+/// Longest pause between a failed request and the next one; bounds the delay with which a recovery
+/// is noticed.
 pub const MOST_PAUSE_MILLIS: u64 = 1_000;
 
-/// Milliseconds from the end of a call that failed for which entries may be missing because of it: engines have all of their
-/// time from the return, whenever that was, and three seconds from the return at most, by which everybody has to know again
-/// who has left. Where it was shorter than the pause and that time together, engines were refused 0.8 s after the return.
-const EXCUSED_MILLIS: u64 = MOST_PAUSE_MILLIS + BACK_MILLIS;
+/// Milliseconds after a failed request for which missing entries are excused: the longest delay of
+/// detection, plus the time for engines to write their entries.
+const EXCUSE_MILLIS: u64 = MOST_PAUSE_MILLIS + REWRITE_MILLIS;
 
-/// Milliseconds without a word of the store below which no entry lapses: an engine writes three times while
-/// its entry lives, every few hundred milliseconds.
-const LEAST_AWAY_MILLIS: u64 = 1_000;
+/// Milliseconds without a response of the store that count as an outage; shorter ones let no entry
+/// expire.
+const MIN_OUTAGE_MILLIS: u64 = 1_000;
 
-/// How a key was found to be gone.
+/// How a key was found to be missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Absence {
-    /// It went at this revision.
+    /// Deleted at this revision.
     Event(Revision),
-    /// A list of all keys lacks it.
+    /// Not contained in a list of all keys.
     Listed,
 }
 
-/// The store's return.
+/// A recovery of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Return {
-    /// Revision at which its first answer found it.
+    /// Revision of the first response.
     pub revision: Revision,
-    /// Until when entries that lapsed may come back.
+    /// Time until which expired entries are excused.
     pub until: Instant,
 }
 
-/// What a gateway knows of the store's outages.
+/// Detects outages of the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outage {
-    /// Last moment at which the store is known to have answered this gateway or another one.
-    last_word: Option<Instant>,
-    /// When a call failed last; none where one was answered since.
-    failed: Option<Instant>,
+    /// Time of the last response of the store to this gateway or a peer.
+    last_response_at: Option<Instant>,
+    /// Time of the last failed request; none since a response.
+    failed_at: Option<Instant>,
     last_return: Option<Return>,
 }
 
 impl Outage {
-    /// Notes that a call failed.
+    /// Records a failed request.
     pub fn note_failure(&mut self, now: Instant) {
-        self.failed = Some(now);
+        self.failed_at = Some(now);
     }
 
-    /// Notes that the store answered another gateway at `at`.
+    /// Records that the store responded to a peer at `at`.
     pub fn note_word(&mut self, at: Instant) {
-        self.last_word = self.last_word.max(Some(at));
+        self.last_response_at = self.last_response_at.max(Some(at));
     }
 
-    /// Notes an answer of the store, which is at `revision`.
+    /// Records a response of the store at `revision`.
     pub fn note_answer(&mut self, revision: Revision, now: Instant) {
-        let last_word = self.last_word.replace(now);
-        let (Some(failed), Some(last_word)) = (self.failed.take(), last_word) else {
+        let last_response_at = self.last_response_at.replace(now);
+        let (Some(failed_at), Some(last_response_at)) = (self.failed_at.take(), last_response_at)
+        else {
             return;
         };
-        if now.millis_since(last_word) < LEAST_AWAY_MILLIS {
+        if now.millis_since(last_response_at) < MIN_OUTAGE_MILLIS {
             return;
         }
-        let back = now.after_millis(BACK_MILLIS);
-        let excused = failed.after_millis(EXCUSED_MILLIS);
-        self.take(Return {
+        let rewritten_by = now.after_millis(REWRITE_MILLIS);
+        let excused_until = failed_at.after_millis(EXCUSE_MILLIS);
+        self.replace_if_later(Return {
             revision,
-            until: back.min(excused),
+            until: rewritten_by.min(excused_until),
         });
     }
 
-    /// Notes a return that another gateway told of. That one may have been cut off alone: whoever knows that
-    /// the store answered meanwhile takes nothing of it.
-    pub fn note_told(&mut self, told: Return, now: Instant) {
-        let was_away = |word: Instant| now.millis_since(word) >= LEAST_AWAY_MILLIS;
-        if self.last_word.is_none_or(was_away) {
-            self.take(told);
+    /// Records a recovery that a peer reported, unless the store has responded meanwhile, as then
+    /// only that peer was cut off.
+    pub fn note_told(&mut self, reported: Return, now: Instant) {
+        let had_outage = |response_at: Instant| now.millis_since(response_at) >= MIN_OUTAGE_MILLIS;
+        if self.last_response_at.is_none_or(had_outage) {
+            self.replace_if_later(reported);
         }
     }
 
-    /// The last return, while entries that lapsed before it may come back.
+    /// Returns the last recovery while expired entries are excused.
     pub fn last_return(&self, now: Instant) -> Option<Return> {
-        self.last_return.filter(|one| !one.until.has_passed(now))
+        self.last_return
+            .filter(|recovery| !recovery.until.has_passed(now))
     }
 
-    /// Until when an engine whose key is gone is to be kept; none where it has left.
+    /// Returns the time until which an engine with a missing entry is kept; none if it was removed.
     pub fn lapses_at(&self, absence: Absence, now: Instant) -> Option<Instant> {
-        let last = self.last_return(now)?;
-        let may_come_back = match absence {
-            Absence::Event(revision) => revision <= last.revision,
+        let recovery = self.last_return(now)?;
+        let is_excused = match absence {
+            Absence::Event(revision) => revision <= recovery.revision,
             Absence::Listed => true,
         };
-        may_come_back.then_some(last.until)
+        is_excused.then_some(recovery.until)
     }
 
-    fn take(&mut self, one: Return) {
-        if self.last_return.is_none_or(|last| last.until < one.until) {
-            self.last_return = Some(one);
+    fn replace_if_later(&mut self, recovery: Return) {
+        if self
+            .last_return
+            .is_none_or(|known| known.until < recovery.until)
+        {
+            self.last_return = Some(recovery);
         }
     }
 }
--- a/crates/gingerpier_serving/src/suspects.rs
+++ b/crates/gingerpier_serving/src/suspects.rs
@@ -1,9 +1,9 @@
-//! Requests that may end the engines which run them, and which of them are sent no more.
+//! Detects requests that crash the engines that run them, and decides which are no longer sent.
 //!
-//! When an engine ends, each request that ran there is a suspect, and at most one of them is guilty. What is kept is a set:
-//! which request ran at which engine when that ended. Gateways tell each other of it and unite what they know, so that order,
-//! loss and repetition of messages do not matter. A whole answer to the same request from any engine refutes what is known
-//! against it. From the fourth engine on it is held back.
+//! When an engine crashes, each request that ran there is a suspect, and at most one of them caused
+//! the crash. The state is a set of (request, engine) crashes that gateways merge, so the order,
+//! loss and repetition of messages don't matter. A complete response to the same request from any
+//! engine refutes its crashes. A request is held back from the fourth attributed crash on.
 //!
 //! ```
 //! use {
@@ -41,108 +41,109 @@
     },
 };
 
-/// Engines that a request is blamed for from which on it is held back: one more than operators allow it, who allow it a few
-/// more until all gateways can know. From three on, 32 innocent requests were held back on 1,000 drawn days with up to three guilty
-/// ones, losses, cuts and waves of ends, from four on none; a guilty one ends 4 engines in the median then, not 3.
+/// Attributed crashes from which on a request is held back; with three, unlucky innocent requests
+/// were held back too.
 pub const HELD_FROM: usize = 4;
 
-/// Engines that ended under a request from which on it is held back whatever else may have ended them. Without this bound
-/// guilty requests that end engines at the same moments explain each other, and on 2 of 1,000 drawn days one went on.
+/// Unrefuted crashes from which on a request is held back even where other requests explain them;
+/// otherwise requests that crash engines at the same time would exonerate each other.
 pub const HELD_ANYWAY: usize = 5;
 
-/// Engines that ended under a request from which on all gateways have to know of it, whatever word was lost.
-const GRAVE_FROM: usize = 2;
+/// Unrefuted crashes from which on a request is a suspect and its case is replicated to all
+/// gateways.
+const SUSPECT_MIN_CRASHES: usize = 2;
 
-/// Milliseconds within which ends count as one event: what strikes several engines at once is noticed within a few
-/// round trips of 3 to 10 ms.
-const TOGETHER_MILLIS: u64 = 50;
+/// Crashes at most this far apart count as simultaneous.
+const COMMON_FAILURE_WINDOW_MILLIS: u64 = 50;
 
-/// Least number of engines, and part of all engines of a service, that ended together for a cause of their own: a zone, a
-/// rack, a loss of power. Guilty requests end them one by one.
-const LEAST_MASS: usize = 3;
-const MASS_PART: usize = 8;
+/// Simultaneous crashes that count as a common failure, such as a power loss, rather than the
+/// effect of a request: at least this many, and at least one in [`COMMON_FAILURE_DIVISOR`] of the
+/// service's engines.
+const COMMON_FAILURE_MIN_ENGINES: usize = 3;
+const COMMON_FAILURE_DIVISOR: usize = 8;
 
-/// Milliseconds after which an end counts: word of it has come by then from all gateways that had requests there. Judged
-/// at once, an innocent request is held back for an engine that a guilty one ended, whose word comes 10 ms later.
+/// Age from which on a crash is attributed: reports from all gateways with requests at that engine
+/// have arrived by then.
 pub const JUDGED_AFTER_MILLIS: u64 = 15;
 
-/// Ends that are remembered to tell which of them came together.
-const RECENT_ENDS: usize = 256;
+/// Crashes kept to detect common failures.
+const MAX_RECENT_CRASHES: usize = 256;
 
-/// Requests against which something is known: some 450 bytes each, so half a megabyte, for all that ran at 64 engines of
-/// 16 places.
-const MOST_MARKS: usize = 1_024;
+/// Requests with a case; some 450 bytes each.
+const MAX_CASES: usize = 1_024;
 
-/// Part of those that one client account may take: one that floods pushes out only its own.
-const ACCOUNT_PART: usize = 8;
+/// Divisor of [`MAX_CASES`] that yields the limit of one client account, so that a flooding account
+/// evicts only its own.
+const ACCOUNT_LIMIT_DIVISOR: usize = 8;
 
-/// Engines that are remembered of one request: it is held back long before.
-const KEPT_ENDS: usize = 16;
+/// Crashes kept per request.
+const MAX_CRASHES_PER_REQUEST: usize = 16;
 
-/// Requests whose whole answers are remembered, some 60 bytes each: 40 s of 100 requests a second.
-const MOST_FINISHED: usize = 4_096;
+/// Requests whose complete responses are remembered; some 60 bytes each.
+const MAX_SUCCEEDED: usize = 4_096;
 
-/// An incarnation of an engine, as gateways name it to each other: a hash of its id and its start.
+/// Identifies one run of an engine among gateways: a hash of its id and start time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Incarnation that is listed as `record` and started at `born`.
+    /// Returns the incarnation that is listed as `record` and started at `born`.
     pub fn of(record: &Record, born: Option<Born>) -> Self {
         let start = born.map_or(0, |born| born.0);
         Self(order::mix(order::hash(&record.id) ^ order::mix(start)))
     }
 }
 
-/// A request ran at an engine when that ended.
+/// A crash of an engine while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct End {
-    /// Request.
+    /// Fingerprint of the request.
     pub mark: Mark,
-    /// Hash of its client account.
+    /// Hash of the client account of the request.
     pub account: u32,
-    /// Engine.
+    /// Engine that crashed.
     pub engine: Incarnation,
-    /// Version of its weights; 0 where it has none.
+    /// Version of the engine's weights; 0 for none.
     pub version: Version,
-    /// When that was noticed.
+    /// Time of detection.
     pub at: Instant,
 }
 
-/// What a word of an end changed.
+/// Effect of a reported crash or response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Noted {
-    /// Nothing.
+    /// Already known, or dropped.
     Known,
-    /// It was not known.
+    /// Recorded as new.
     News,
-    /// The request was answered whole by weights of that version: who tells should know.
+    /// Refuted by a complete response from weights of this version; the reporter should be told.
     Refuted(Version),
 }
 
-/// How a request stands.
+/// Whether and how a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing counts against it.
+    /// No unrefuted crashes.
     Clear,
-    /// An engine ended under it, and whatever else ran there is as likely to have ended it: it is sent to one engine at a time.
+    /// One unrefuted crash: sent as a trial, preferably to an engine without another trial.
     Noted,
-    /// Engines ended under it, fewer than hold it back: it is sent to one at a time, where no other such request runs.
+    /// Several unrefuted crashes, but fewer than hold it back: sent as a trial, only to an engine
+    /// without another trial.
     Suspect,
-    /// It is sent no more.
+    /// Held back.
     Held,
 }
 
-/// What is known against a request.
+/// Crashes of one request and what refutes them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Case {
-    /// Hash of its client account.
+    /// Hash of the client account.
     pub account: u32,
-    /// Engines that ended under it.
+    /// Crashes while the request ran.
     pub ends: Vec<End>,
-    /// Newest version of weights by which it was answered whole.
+    /// Newest version of weights that gave a complete response.
     pub cleared: Option<Version>,
-    /// Engines that do not count any more, by an operator's word.
+    /// Engines whose crashes an operator dismissed.
     pub pardoned: BTreeSet<Incarnation>,
 }
 
@@ -156,20 +157,20 @@
         }
     }
 
-    /// Ends that nothing refutes.
-    fn standing_ends(&self) -> impl Iterator<Item = &End> {
+    /// Returns the crashes that neither a response nor an operator refutes.
+    fn unrefuted_crashes(&self) -> impl Iterator<Item = &End> {
         self.ends.iter().filter(|end| {
             let is_refuted = self.cleared.is_some_and(|cleared| cleared >= end.version);
             !is_refuted && !self.pardoned.contains(&end.engine)
         })
     }
 
-    fn last(&self) -> Instant {
+    fn last_crash_at(&self) -> Instant {
         let times = self.ends.iter().map(|end| end.at);
         times.max().unwrap_or_default()
     }
 
-    /// A number that is the same where the same is known.
+    /// Hashes the content independently of the order in which it was learnt.
     fn digest(&self, mark: Mark) -> u64 {
         let ends = self.ends.iter().map(|end| order::mix(end.engine.0));
         let pardoned = self.pardoned.iter().map(|one| order::mix(!one.0));
@@ -179,20 +180,20 @@
     }
 }
 
-/// Requests that were answered whole lately.
+/// Requests that recently received a complete response, evicted in insertion order.
 #[derive(Debug, Clone, Default)]
-struct Finished {
+struct Succeeded {
     versions: HashMap<Mark, Version>,
     order: VecDeque<Mark>,
 }
 
-impl Finished {
+impl Succeeded {
     fn note(&mut self, mark: Mark, version: Version) {
         if let Some(known) = self.versions.get_mut(&mark) {
             *known = version.max(*known);
             return;
         }
-        if self.order.len() >= MOST_FINISHED
+        if self.order.len() >= MAX_SUCCEEDED
             && let Some(oldest) = self.order.pop_front()
         {
             self.versions.remove(&oldest);
@@ -202,41 +203,46 @@
     }
 }
 
-/// All requests against which something is known.
+/// Crash cases of all requests.
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
-    /// In order, so that the same word brings the same course.
+    /// Ordered, so that evaluation is deterministic.
     cases: BTreeMap<Mark, Case>,
-    finished: Finished,
-    /// Engines that ended, when, and of how many.
-    ended: VecDeque<Ended>,
-    /// Requests that are held back: what is known decides, not the order in which it came.
+    succeeded: Succeeded,
+    /// Recent engine crashes, newest first.
+    recent_crashes: VecDeque<EngineCrash>,
+    /// Requests held back as of the last evaluation.
     held: BTreeSet<Mark>,
-    /// When the first word that was not judged will have had time.
-    unjudged: Option<Instant>,
+    /// Time of the next evaluation; none if nothing is pending.
+    next_evaluation: Option<Instant>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Ended {
+struct EngineCrash {
     engine: Incarnation,
     at: Instant,
-    of: usize,
+    fleet_size: usize,
 }
 
 impl Suspects {
-    /// Takes word that an engine, one `of` so many of its service, ended while it ran a request.
-    pub fn note_end(&mut self, end: End, of: usize) -> Noted {
-        if !self.ended.iter().any(|known| known.engine == end.engine) {
-            self.ended.truncate(RECENT_ENDS - 1);
-            self.ended.push_front(Ended {
+    /// Records that an engine of a service with `fleet_size` engines crashed while it ran a
+    /// request.
+    pub fn note_end(&mut self, end: End, fleet_size: usize) -> Noted {
+        if !self
+            .recent_crashes
+            .iter()
+            .any(|known| known.engine == end.engine)
+        {
+            self.recent_crashes.truncate(MAX_RECENT_CRASHES - 1);
+            self.recent_crashes.push_front(EngineCrash {
                 engine: end.engine,
                 at: end.at,
-                of,
+                fleet_size,
             });
         }
-        let finished = self.finished.versions.get(&end.mark).copied();
+        let succeeded = self.succeeded.versions.get(&end.mark).copied();
         let case = self.cases.get(&end.mark);
-        let cleared = finished.max(case.and_then(|case| case.cleared));
+        let cleared = succeeded.max(case.and_then(|case| case.cleared));
         if let Some(version) = cleared.filter(|version| *version >= end.version) {
             return Noted::Refuted(version);
         }
@@ -248,62 +254,85 @@
         }
         let case = self.cases.entry(end.mark);
         let case = case.or_insert_with(|| Case::new(end.account));
-        if case.ends.len() >= KEPT_ENDS {
+        if case.ends.len() >= MAX_CRASHES_PER_REQUEST {
             return Noted::Known;
         }
         case.ends.push(end);
-        // The next one that comes does not put off this one.
-        let ripe_at = end.at.after_millis(JUDGED_AFTER_MILLIS);
-        self.unjudged = Some(self.unjudged.map_or(ripe_at, |known| known.min(ripe_at)));
+        // A later crash must not postpone the evaluation of this one.
+        let settles_at = end.at.after_millis(JUDGED_AFTER_MILLIS);
+        self.next_evaluation = Some(
+            self.next_evaluation
+                .map_or(settles_at, |known| known.min(settles_at)),
+        );
         Noted::News
     }
 
-    /// When there is something to judge next, as far as word has come.
+    /// Returns when [`Self::judge`] is due; none if nothing is pending.
     pub const fn judges_at(&self) -> Option<Instant> {
-        self.unjudged
+        self.next_evaluation
     }
 
-    /// Finds the requests that are held back; gives those that were not before. Ends count once their word has had time
-    /// to come from all gateways that had requests there.
+    /// Recomputes which requests are held back and returns the new ones. Only crashes that are at
+    /// least [`JUDGED_AFTER_MILLIS`] old count.
     ///
-    /// An engine is ended by one request, so whatever ran beside one that is held back is not blamed for that engine. First
-    /// comes the one with most ends beside which no other ran, then the one with most ends, then that beside which fewest ran.
+    /// A crash is caused by one request, so once a request is held back, its crashes no longer
+    /// count against the others that ran there. Requests are visited by most crashes without
+    /// company, then most attributed crashes, then least company.
     pub fn judge(&mut self, now: Instant) -> Vec<Mark> {
         let ends = self.cases.values().flat_map(|case| &case.ends);
-        let ripe_at = ends.map(|end| end.at.after_millis(JUDGED_AFTER_MILLIS));
-        self.unjudged = ripe_at.filter(|at| !at.has_passed(now)).min();
-        let ripe = |end: &&End| end.at.after_millis(JUDGED_AFTER_MILLIS).has_passed(now);
-        let may_be = |case: &&Case| {
-            case.standing_ends()
-                .filter(ripe)
+        let settles_at = ends.map(|end| end.at.after_millis(JUDGED_AFTER_MILLIS));
+        self.next_evaluation = settles_at.filter(|at| !at.has_passed(now)).min();
+        let is_settled = |end: &&End| end.at.after_millis(JUDGED_AFTER_MILLIS).has_passed(now);
+        let may_be_held = |case: &&Case| {
+            case.unrefuted_crashes()
+                .filter(is_settled)
                 .nth(HELD_FROM - 1)
                 .is_some()
         };
-        let mut ran: BTreeMap<Incarnation, Vec<Mark>> = BTreeMap::new();
+        let mut requests_by_engine: BTreeMap<Incarnation, Vec<Mark>> = BTreeMap::new();
         for (mark, case) in &self.cases {
-            if case.standing_ends().nth(GRAVE_FROM - 1).is_some() {
-                for end in case.standing_ends() {
-                    ran.entry(end.engine).or_default().push(*mark);
+            if case
+                .unrefuted_crashes()
+                .nth(SUSPECT_MIN_CRASHES - 1)
+                .is_some()
+            {
+                for end in case.unrefuted_crashes() {
+                    requests_by_engine
+                        .entry(end.engine)
+                        .or_default()
+                        .push(*mark);
                 }
             }
         }
-        let beside = |end: &End| ran.get(&end.engine).map_or(0, |marks| marks.len() - 1);
-        let none = BTreeSet::new();
-        let mut marks = Vec::new();
-        for (mark, case) in self.cases.iter().filter(|(_, case)| may_be(case)) {
-            let alone = case.standing_ends().filter(|end| beside(end) == 0).count();
-            let blamed = self.blamed(case, &none, now);
-            let company: usize = case.standing_ends().map(beside).sum();
-            marks.push((Reverse((alone, blamed)), company, *mark));
+        let co_running_count = |end: &End| {
+            requests_by_engine
+                .get(&end.engine)
+                .map_or(0, |marks| marks.len() - 1)
+        };
+        let no_engines = BTreeSet::new();
+        let mut candidates = Vec::new();
+        for (mark, case) in self.cases.iter().filter(|(_, case)| may_be_held(case)) {
+            let sole_count = case
+                .unrefuted_crashes()
+                .filter(|end| co_running_count(end) == 0)
+                .count();
+            let attributed_crash_count = self.attributed_crash_count(case, &no_engines, now);
+            let co_running_total: usize = case.unrefuted_crashes().map(co_running_count).sum();
+            candidates.push((
+                Reverse((sole_count, attributed_crash_count)),
+                co_running_total,
+                *mark,
+            ));
         }
-        marks.sort_unstable();
-        let mut explained = BTreeSet::new();
+        candidates.sort_unstable();
+        let mut explained_engines = BTreeSet::new();
         let mut held = BTreeSet::new();
-        for (.., mark) in marks {
+        for (.., mark) in candidates {
             let case = &self.cases[&mark];
-            let is_blamed = self.blamed(case, &explained, now) >= HELD_FROM;
-            if is_blamed || case.standing_ends().nth(HELD_ANYWAY - 1).is_some() {
-                explained.extend(case.standing_ends().map(|end| end.engine));
+            let has_enough_crashes =
+                self.attributed_crash_count(case, &explained_engines, now) >= HELD_FROM;
+            if has_enough_crashes || case.unrefuted_crashes().nth(HELD_ANYWAY - 1).is_some() {
+                explained_engines.extend(case.unrefuted_crashes().map(|end| end.engine));
                 held.insert(mark);
             }
         }
@@ -312,23 +341,29 @@
         new
     }
 
-    /// Makes room for one more request of `account`; false where there is none.
+    /// Makes room for a case of `account`; returns false if nothing can be evicted.
     fn make_room(&mut self, account: u32) -> bool {
-        let of_account = |case: &Case| case.account == account;
-        let own = self.cases.values().filter(|case| of_account(case)).count();
-        if own >= MOST_MARKS / ACCOUNT_PART {
-            return self.drop_oldest(of_account);
+        let is_of_account = |case: &Case| case.account == account;
+        let own_count = self
+            .cases
+            .values()
+            .filter(|case| is_of_account(case))
+            .count();
+        if own_count >= MAX_CASES / ACCOUNT_LIMIT_DIVISOR {
+            return self.drop_oldest(is_of_account);
         }
-        self.cases.len() < MOST_MARKS || self.drop_oldest(|_| true)
+        self.cases.len() < MAX_CASES || self.drop_oldest(|_| true)
     }
 
-    /// Drops the request under which fewest engines ended, and longest ago, of those that `may_go` and are not held back.
-    fn drop_oldest(&mut self, may_go: impl Fn(&Case) -> bool) -> bool {
-        let going = self
+    /// Evicts the case with the fewest, oldest crashes among those that `is_evictable` accepts and
+    /// that are not held back.
+    fn drop_oldest(&mut self, is_evictable: impl Fn(&Case) -> bool) -> bool {
+        let evictable = self
             .cases
             .iter()
-            .filter(|(mark, case)| may_go(case) && self.standing(**mark) != Standing::Held);
-        let oldest = going.min_by_key(|(mark, case)| (case.ends.len(), case.last(), **mark));
+            .filter(|(mark, case)| is_evictable(case) && self.standing(**mark) != Standing::Held);
+        let oldest =
+            evictable.min_by_key(|(mark, case)| (case.ends.len(), case.last_crash_at(), **mark));
         let Some(oldest) = oldest.map(|(mark, _)| *mark) else {
             return false;
         };
@@ -336,125 +371,140 @@
         true
     }
 
-    /// Notes that a request was answered whole by weights of `version`; true where something was known against it
-    /// that this refutes.
+    /// Records that this gateway received a complete response from weights of `version`; returns
+    /// true if that newly refutes a case.
     pub fn note_finished(&mut self, mark: Mark, version: Version) -> bool {
-        self.finished.note(mark, version);
+        self.succeeded.note(mark, version);
         self.note_cleared(mark, version)
     }
 
-    /// Takes word that a request was answered whole by weights of `version`; true where that refutes something.
+    /// Records a complete response that another gateway reported; returns true if that newly
+    /// refutes a case.
     pub fn note_cleared(&mut self, mark: Mark, version: Version) -> bool {
         let Some(case) = self.cases.get_mut(&mark) else {
             return false;
         };
-        let is_news = case.cleared < Some(version);
+        let is_new = case.cleared < Some(version);
         case.cleared = case.cleared.max(Some(version));
-        if is_news {
-            self.forget_judgement(mark);
+        if is_new {
+            self.schedule_evaluation(mark);
         }
-        is_news
+        is_new
     }
 
-    /// Lets a request go again by an operator's word; gives the engines that do not count any more.
+    /// Dismisses all crashes of a request by operator command; returns the engines concerned.
     pub fn pardon(&mut self, mark: Mark) -> Vec<Incarnation> {
         let Some(case) = self.cases.get_mut(&mark) else {
             return Vec::new();
         };
         let engines: Vec<Incarnation> = case.ends.iter().map(|end| end.engine).collect();
         case.pardoned.extend(&engines);
-        self.forget_judgement(mark);
+        self.schedule_evaluation(mark);
         engines
     }
 
-    /// Takes word that `engine` does not count against a request any more; true where that was not known.
+    /// Records that an operator dismissed the crash of `engine` for a request; returns true if that
+    /// is new.
     pub fn note_pardoned(&mut self, mark: Mark, account: u32, engine: Incarnation) -> bool {
         if !self.cases.contains_key(&mark) && !self.make_room(account) {
             return false;
         }
         let case = self.cases.entry(mark);
         let case = case.or_insert_with(|| Case::new(account));
-        let is_news = case.pardoned.len() < KEPT_ENDS && case.pardoned.insert(engine);
-        if is_news {
-            self.forget_judgement(mark);
+        let is_new = case.pardoned.len() < MAX_CRASHES_PER_REQUEST && case.pardoned.insert(engine);
+        if is_new {
+            self.schedule_evaluation(mark);
         }
-        is_news
+        is_new
     }
 
-    /// Judges anew soon: what one request is not blamed for any more, another one may be.
-    fn forget_judgement(&mut self, mark: Mark) {
+    /// Schedules an evaluation, as crashes that no longer count here may now be attributed to other
+    /// requests.
+    fn schedule_evaluation(&mut self, mark: Mark) {
         let case = self.cases.get(&mark);
-        if case.is_none_or(|case| case.standing_ends().nth(HELD_FROM - 1).is_none()) {
+        if case.is_none_or(|case| case.unrefuted_crashes().nth(HELD_FROM - 1).is_none()) {
             self.held.remove(&mark);
         }
-        self.unjudged = Some(Instant::default());
+        self.next_evaluation = Some(Instant::default());
     }
 
-    /// How a request stands.
+    /// Returns the status of a request.
     pub fn standing(&self, mark: Mark) -> Standing {
-        // Nothing is known against nearly all requests.
+        // Fast path for nearly all requests.
         let Some(case) = self.cases.get(&mark) else {
             return Standing::Clear;
         };
         if self.held.contains(&mark) {
             return Standing::Held;
         }
-        let alone = case.standing_ends().filter(|end| !self.is_mass(end));
-        match alone.take(GRAVE_FROM).count() {
+        let separate = case
+            .unrefuted_crashes()
+            .filter(|end| !self.is_common_failure(end));
+        match separate.take(SUSPECT_MIN_CRASHES).count() {
             0 => Standing::Clear,
-            ends if ends < GRAVE_FROM => Standing::Noted,
+            ends if ends < SUSPECT_MIN_CRASHES => Standing::Noted,
             _ => Standing::Suspect,
         }
     }
 
-    /// Engines that a request is blamed for: not for those that are `explained`, and not for what struck many at once.
-    fn blamed(&self, case: &Case, explained: &BTreeSet<Incarnation>, now: Instant) -> usize {
-        let ripe = |end: &&End| end.at.after_millis(JUDGED_AFTER_MILLIS).has_passed(now);
-        let ends = case.standing_ends().filter(ripe);
-        let ends = ends.filter(|end| !explained.contains(&end.engine) && !self.is_mass(end));
+    /// Counts the settled crashes of `case` that are neither explained by a request already held
+    /// back nor part of a common failure.
+    fn attributed_crash_count(
+        &self,
+        case: &Case,
+        explained_engines: &BTreeSet<Incarnation>,
+        now: Instant,
+    ) -> usize {
+        let is_settled = |end: &&End| end.at.after_millis(JUDGED_AFTER_MILLIS).has_passed(now);
+        let ends = case.unrefuted_crashes().filter(is_settled);
+        let ends = ends
+            .filter(|end| !explained_engines.contains(&end.engine) && !self.is_common_failure(end));
         ends.count()
     }
 
-    fn is_mass(&self, end: &End) -> bool {
-        let near = |ended: &&Ended| {
-            ended
+    fn is_common_failure(&self, end: &End) -> bool {
+        let is_simultaneous = |crash: &&EngineCrash| {
+            crash
                 .at
                 .millis_since(end.at)
-                .max(end.at.millis_since(ended.at))
-                <= TOGETHER_MILLIS
+                .max(end.at.millis_since(crash.at))
+                <= COMMON_FAILURE_WINDOW_MILLIS
         };
-        let together = self.ended.iter().filter(near);
-        let (count, of) = together.fold((0, 0), |(count, of), ended| (count + 1, of.max(ended.of)));
-        count >= LEAST_MASS.max(of / MASS_PART)
+        let simultaneous = self.recent_crashes.iter().filter(is_simultaneous);
+        let (count, fleet_size) = simultaneous.fold((0, 0), |(count, fleet_size), crash| {
+            (count + 1, fleet_size.max(crash.fleet_size))
+        });
+        count >= COMMON_FAILURE_MIN_ENGINES.max(fleet_size / COMMON_FAILURE_DIVISOR)
     }
 
-    /// Requests that others should know of even where they missed each word: those with two engines and more.
+    /// Returns the cases that gateways replicate to each other: suspects, and those that an
+    /// operator dismissed.
     pub fn grave(&self) -> impl Iterator<Item = (Mark, &Case)> {
         let all = self.cases.iter().map(|(mark, case)| (*mark, case));
         all.filter(|(_, case)| {
-            let standing = case.standing_ends().count();
-            standing >= GRAVE_FROM || !case.pardoned.is_empty()
+            let standing = case.unrefuted_crashes().count();
+            standing >= SUSPECT_MIN_CRASHES || !case.pardoned.is_empty()
         })
     }
 
-    /// A number that is the same at gateways which know the same of these; 0 for none.
+    /// Hashes all replicated cases; equal at gateways with equal cases, 0 for none.
     pub fn digest(&self) -> u64 {
         self.grave()
             .fold(0, |all, (mark, case)| all ^ case.digest(mark))
     }
 
-    /// What is known against a request.
+    /// Returns the case of a request.
     pub fn case(&self, mark: Mark) -> Option<&Case> {
         self.cases.get(&mark)
     }
 
-    /// Requests that are held back, with what is known against them.
+    /// Returns the requests that are held back.
     pub fn held(&self) -> impl Iterator<Item = (Mark, &Case)> {
         let all = self.cases.iter().map(|(mark, case)| (*mark, case));
         all.filter(|(mark, _)| self.held.contains(mark))
     }
 
-    /// Requests against which something is known.
+    /// Returns the number of cases.
     pub fn count(&self) -> usize {
         self.cases.len()
     }
--- a/crates/gingerpier_serving/src/trials.rs
+++ b/crates/gingerpier_serving/src/trials.rs
@@ -1,8 +1,9 @@
-//! Requests that may end the engines which run them run one at a time, and from the second end on none beside another one.
+//! Coordinates isolated runs ("trials") of suspect requests across gateways.
 //!
-//! A gateway tells the others before it sends such a request where it is to run, and waits a moment for word of another trial of
-//! the same request or at the same engine. Of two that begin at once the lower one goes on. So an engine that ends under a trial
-//! was ended by that request, or by one of which nothing was known.
+//! A gateway announces a trial to the others and waits [`SETTLE_MILLIS`] for a conflicting
+//! announcement: a trial of the same request, or one at the same engine. Of two that start at once,
+//! the lower in order continues. A crash during a trial is therefore attributable to that request,
+//! or to one without a case.
 
 use {
     crate::{mark::Mark, suspects::Incarnation},
@@ -10,90 +11,96 @@
     std::{collections::HashMap, net::SocketAddr},
 };
 
-/// Milliseconds from the word of a trial until it begins: another gateway's word of the same moment comes within them, over
-/// the longest ways between regions (3 to 10 ms) and a turn of a busy process.
+/// Milliseconds between the announcement of a trial and its run, longer than a message takes
+/// between regions.
 pub const SETTLE_MILLIS: u64 = 20;
 
-/// Milliseconds after which a trial is over for others that heard nothing of its end: its gateway may have died. Longer than
-/// nearly all requests take.
+/// Milliseconds after which a trial without an end message counts as over, as its gateway may have
+/// died.
 pub const TRIAL_MILLIS: u64 = 3_000;
 
-/// Trials that are kept; a request beyond them runs without one.
-const MOST_TRIALS: usize = 512;
+/// Trials kept; a request beyond them runs without one.
+const MAX_TRIALS: usize = 512;
 
-/// A request on trial.
+/// An isolated run of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Trial {
-    /// Gateway.
+    /// Gateway that runs the trial.
     pub by: SocketAddr,
-    /// Request.
+    /// Fingerprint of the request.
     pub mark: Mark,
-    /// Engine, where no other request of this kind may run beside it.
+    /// Engine reserved for the trial; none if the request shares one.
     pub engine: Option<Incarnation>,
 }
 
-/// Trials under way, as far as a gateway knows.
+/// Trials in progress, as far as this gateway knows.
 #[derive(Debug, Clone, Default)]
 pub struct Trials {
-    running: HashMap<(Mark, SocketAddr), Running>,
+    announced: HashMap<(Mark, SocketAddr), AnnouncedTrial>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct AnnouncedTrial {
     trial: Trial,
-    since: Instant,
+    announced_at: Instant,
 }
 
-impl Running {
-    const fn is_over(&self, now: Instant) -> bool {
-        now.millis_since(self.since) >= TRIAL_MILLIS
+impl AnnouncedTrial {
+    const fn has_timed_out(&self, now: Instant) -> bool {
+        now.millis_since(self.announced_at) >= TRIAL_MILLIS
     }
 
-    /// True once other gateways had the time to tell of a trial of the same moment: it goes before any that begins now.
-    const fn is_settled(&self, now: Instant) -> bool {
-        now.millis_since(self.since) >= SETTLE_MILLIS
+    /// Returns true once a conflicting announcement would have arrived; from then on this trial
+    /// takes precedence over new ones.
+    const fn has_settled(&self, now: Instant) -> bool {
+        now.millis_since(self.announced_at) >= SETTLE_MILLIS
     }
 }
 
 impl Trials {
-    fn under_way(&self, now: Instant) -> impl Iterator<Item = &Running> {
-        self.running.values().filter(move |one| !one.is_over(now))
+    fn in_progress(&self, now: Instant) -> impl Iterator<Item = &AnnouncedTrial> {
+        self.announced
+            .values()
+            .filter(move |one| !one.has_timed_out(now))
     }
 
-    /// True where a trial of a request is under way.
+    /// Returns true if a trial of the request is in progress.
     pub fn is_on_trial(&self, mark: Mark, now: Instant) -> bool {
-        self.under_way(now).any(|one| one.trial.mark == mark)
+        self.in_progress(now).any(|one| one.trial.mark == mark)
     }
 
-    /// Engines at which trials are under way.
+    /// Returns the engines that are reserved for trials.
     pub fn engines(&self, now: Instant) -> impl Iterator<Item = Incarnation> {
-        self.under_way(now).filter_map(|one| one.trial.engine)
+        self.in_progress(now).filter_map(|one| one.trial.engine)
     }
 
-    /// True where `trial`, which has begun, may go on: no other of the same request or at the same engine goes before it.
+    /// Returns true if `trial`, which was announced, takes precedence over all conflicting ones.
     pub fn goes_on(&self, trial: &Trial, now: Instant) -> bool {
-        let same = |one: &&Running| {
-            let is_beside = trial.engine.is_some() && one.trial.engine == trial.engine;
-            one.trial.mark == trial.mark || is_beside
+        let conflicts = |one: &&AnnouncedTrial| {
+            let shares_engine = trial.engine.is_some() && one.trial.engine == trial.engine;
+            one.trial.mark == trial.mark || shares_engine
         };
-        let others = self.under_way(now).filter(same);
-        let mut others = others.filter(|one| one.trial != *trial);
-        !others.any(|one| one.is_settled(now) || one.trial < *trial)
+        let conflicting = self.in_progress(now).filter(conflicts);
+        let mut conflicting = conflicting.filter(|one| one.trial != *trial);
+        !conflicting.any(|one| one.has_settled(now) || one.trial < *trial)
     }
 
-    /// Takes word that a trial begins.
+    /// Records the start of a trial.
     pub fn note_begun(&mut self, trial: Trial, now: Instant) {
-        if self.running.len() >= MOST_TRIALS {
-            self.running.retain(|_, one| !one.is_over(now));
+        if self.announced.len() >= MAX_TRIALS {
+            self.announced.retain(|_, one| !one.has_timed_out(now));
         }
-        if self.running.len() < MOST_TRIALS {
-            let running = Running { trial, since: now };
-            self.running.insert((trial.mark, trial.by), running);
+        if self.announced.len() < MAX_TRIALS {
+            let announced = AnnouncedTrial {
+                trial,
+                announced_at: now,
+            };
+            self.announced.insert((trial.mark, trial.by), announced);
         }
     }
 
-    /// Takes word that the trial of a request at gateway `by` is over.
+    /// Records the end of the trial of a request at gateway `by`.
     pub fn note_over(&mut self, mark: Mark, by: SocketAddr) {
-        self.running.remove(&(mark, by));
+        self.announced.remove(&(mark, by));
     }
 }
--- a/crates/gingerpier_serving/src/unnamed.rs
+++ b/crates/gingerpier_serving/src/unnamed.rs
@@ -1,150 +1,151 @@
-//! Weights that operators have not named.
+//! Finds the version of weights to load for models without a release.
 //!
-//! Engines may hold weights from their start that nobody ever named. Where all of them are lost at once, no process knows
-//! of any version, and whoever waits for another one's word waits for good. One source is left that needs no memory: the
-//! origin says what it has. So gateways ask it ([`Search`]), one of a zone after the other, and tell loaders what there
-//! is. A loader that nobody tells asks the origin itself after a while ([`Patience`]).
+//! Engines may hold weights from their start that were never released. If all processes that know
+//! the version lose it at once, waiting for a peer never ends, and only the origin still knows what
+//! it has. So gateways ask the origin ([`Search`]), by rank within their zone, and pass its version
+//! on to loaders. A loader that gets none asks the origin itself after a while ([`Patience`]).
 //!
-//! Every wait here ends with time alone, never with word of another process, so no two of them can wait for each other.
+//! Each wait ends by timeout alone and never depends on a message, so no two processes can wait for
+//! each other.
 
 use {crate::report::Version, gingerpier_base::Instant};
 
-/// What a process knows of the weights of one model.
+/// Known versions of one model's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Known {
-    /// Newest version that operators named.
+    /// Newest released version.
     pub named: Option<Version>,
-    /// Newest version that the origin was found to have.
+    /// Newest version that the origin reported.
     pub found: Option<Version>,
-    /// Newest version that an engine was said to hold.
+    /// Newest version that an engine reported to hold.
     pub held: Option<Version>,
 }
 
 impl Known {
-    /// Version that engines are to hold; none where nothing is known of any. What the origin was found to have goes
-    /// before what engines were said to hold, which may be no longer to be had.
+    /// Returns the version that engines should hold; none if no version is known. The origin's
+    /// version takes precedence over those of engines, which may no longer be available.
     pub fn wanted(self) -> Option<Version> {
         self.named.or(self.found).or(self.held)
     }
 
-    /// True where `version` may be had, as far as known: it was named, or the origin was not found to have another one.
+    /// Returns true unless `version` is known to be unavailable: nothing is released, and the
+    /// origin reported another version.
     pub fn may_be_had(self, version: Version) -> bool {
         self.named.is_some() || self.found.is_none_or(|found| found == version)
     }
 }
 
-/// Milliseconds from the moment at which nothing is known of any weights until the first gateway of a zone asks the
-/// origin. Where everything starts, reports of engines that still hold something come within some 0.5 s of each other.
-const SETTLE_MILLIS: u64 = 600;
+/// Milliseconds without a known version after which the first gateway of a zone asks the origin; at
+/// a cold start, reports of engines with weights arrive by then.
+const INITIAL_DELAY_MILLIS: u64 = 600;
 
-/// Milliseconds by which each further gateway of a zone asks later: an answer of the origin, two reads of some 5 KB, and
-/// a word to loaders and on to the other gateways take less than half of it.
-const TURN_MILLIS: u64 = 800;
+/// Additional delay in milliseconds per gateway of the zone that asks first; longer than a response
+/// of the origin takes to reach the others.
+const RANK_DELAY_MILLIS: u64 = 800;
 
-/// Places in the order of a zone that are told apart; all later ones wait as long as the last of these.
-const MOST_TURNS: u32 = 8;
+/// Rank from which on the delay no longer grows.
+const MAX_DELAYED_RANK: u32 = 8;
 
-/// Milliseconds without a further chunk after which weights that some process knows of count as not to be had.
-const STUCK_MILLIS: u64 = 3_000;
+/// Milliseconds without a new chunk after which a known version counts as unavailable.
+const NO_PROGRESS_MILLIS: u64 = 3_000;
 
-/// Milliseconds of the first pause after the origin did not answer; it doubles with each further one.
-const RETRY_MILLIS: u64 = 250;
+/// First retry delay in milliseconds; doubles with each failure.
+const INITIAL_RETRY_MILLIS: u64 = 250;
 
-/// Most times that the pause doubles: an origin that is back is found within 2 s.
-const MOST_DOUBLINGS: u32 = 3;
+/// Maximum doublings of the retry delay.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// What one gateway sees of the weights of a model that were never named.
+/// A gateway's observation of a model without a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Seen {
-    /// True where some engine lacks weights; none were named.
+    /// True if some engine lacks weights and nothing is released.
     pub is_lacking: bool,
-    /// True where some version is known.
+    /// True if some version is known.
     pub is_known: bool,
-    /// True where the version that engines are to hold is here whole.
+    /// True if all chunks of the wanted version are here.
     pub is_whole: bool,
-    /// Chunks of the model that are here.
+    /// Number of chunks of the model that are here.
     pub chunks: usize,
-    /// Gateways of the zone that ask before this one.
+    /// Number of gateways of the zone that ask before this one.
     pub rank: u32,
 }
 
-/// When one gateway asks the origin what it has.
+/// Schedule of one gateway's requests to the origin.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Search {
-    /// When it asks next; none where nothing is lacking.
-    due: Option<Instant>,
+    /// Time of the next request; none if no engine lacks weights.
+    due_at: Option<Instant>,
     was_known: bool,
     chunks: usize,
     failures: u32,
 }
 
 impl Search {
-    /// True where the origin is to be asked now.
+    /// Returns true if the origin should be asked now.
     pub fn is_due(&mut self, seen: &Seen, now: Instant) -> bool {
         if !seen.is_lacking || seen.is_whole {
             *self = Self::default();
             return false;
         }
-        let turn = u64::from(seen.rank.min(MOST_TURNS)) * TURN_MILLIS;
-        let has_moved = self.due.is_none() || seen.chunks != self.chunks;
-        if has_moved || seen.is_known != self.was_known {
-            let wait = match seen.is_known {
-                true => STUCK_MILLIS,
-                false => SETTLE_MILLIS,
+        let rank_delay_millis = u64::from(seen.rank.min(MAX_DELAYED_RANK)) * RANK_DELAY_MILLIS;
+        let has_progressed = self.due_at.is_none() || seen.chunks != self.chunks;
+        if has_progressed || seen.is_known != self.was_known {
+            let wait_millis = match seen.is_known {
+                true => NO_PROGRESS_MILLIS,
+                false => INITIAL_DELAY_MILLIS,
             };
-            self.due = Some(now.after_millis(wait + turn));
+            self.due_at = Some(now.after_millis(wait_millis + rank_delay_millis));
             self.chunks = seen.chunks;
             self.was_known = seen.is_known;
         }
-        self.due.is_some_and(|due| due.has_passed(now))
+        self.due_at.is_some_and(|due_at| due_at.has_passed(now))
     }
 
-    /// Notes that the origin did not say what it has; `draw` is any number.
+    /// Records a failed request to the origin; `draw` is a random number for jitter.
     pub fn note_failure(&mut self, now: Instant, draw: u64) {
-        let pause = RETRY_MILLIS << self.failures.min(MOST_DOUBLINGS);
+        let retry_millis = INITIAL_RETRY_MILLIS << self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        self.due = Some(now.after_millis(pause / 2 + draw % (pause / 2)));
+        self.due_at = Some(now.after_millis(retry_millis / 2 + draw % (retry_millis / 2)));
     }
 
-    /// Notes that the origin said what it has.
+    /// Records a response of the origin.
     pub fn note_found(&mut self, now: Instant) {
         self.failures = 0;
-        self.due = Some(now.after_millis(STUCK_MILLIS));
+        self.due_at = Some(now.after_millis(NO_PROGRESS_MILLIS));
     }
 }
 
-/// Milliseconds for which a loader waits for gateways that it hears to tell what there is. Several turns of theirs fit
-/// into it; those that run an older program never tell.
-const TOLD_WITHIN_MILLIS: u64 = 6_000;
+/// Milliseconds for which a loader waits for a version from reachable gateways.
+const REACHABLE_GATEWAY_WAIT_MILLIS: u64 = 6_000;
 
-/// Milliseconds for which a loader waits to hear a gateway: where everything starts, all are heard within some 1 s.
-const HEARD_WITHIN_MILLIS: u64 = 2_000;
+/// Milliseconds for which a loader waits for a gateway to become reachable.
+const NO_GATEWAY_WAIT_MILLIS: u64 = 2_000;
 
-/// Milliseconds over which loaders spread their own questions to the origin.
-const SPREAD_MILLIS: u64 = 1_000;
+/// Milliseconds over which loaders spread their requests to the origin.
+const REQUEST_SPREAD_MILLIS: u64 = 1_000;
 
-/// How long a loader whose engine lacks weights, and which knows of none, waits for others.
+/// How long a loader whose engine lacks weights waits before it asks the origin itself.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Patience {
-    since: Option<Instant>,
+    waiting_since: Option<Instant>,
 }
 
 impl Patience {
-    /// Notes that weights are known or not wanted.
+    /// Ends the wait, as a version is known or none is needed.
     pub const fn end(&mut self) {
-        self.since = None;
+        self.waiting_since = None;
     }
 
-    /// True where the loader asks the origin itself what it has; `place` is its own number, `hears` tells whether
-    /// a gateway is heard.
-    pub fn is_over(&mut self, hears: bool, place: u64, now: Instant) -> bool {
-        let since = *self.since.get_or_insert(now);
-        let wait = match hears {
-            true => TOLD_WITHIN_MILLIS,
-            false => HEARD_WITHIN_MILLIS,
+    /// Returns true once the loader should ask the origin itself; `own_number` spreads the loaders
+    /// over time.
+    pub fn is_over(&mut self, is_gateway_reachable: bool, own_number: u64, now: Instant) -> bool {
+        let waiting_since = *self.waiting_since.get_or_insert(now);
+        let wait_millis = match is_gateway_reachable {
+            true => REACHABLE_GATEWAY_WAIT_MILLIS,
+            false => NO_GATEWAY_WAIT_MILLIS,
         };
-        since
-            .after_millis(wait + place % SPREAD_MILLIS)
+        waiting_since
+            .after_millis(wait_millis + own_number % REQUEST_SPREAD_MILLIS)
             .has_passed(now)
     }
 }
--- a/crates/gingerpier_serving/src/watching.rs
+++ b/crates/gingerpier_serving/src/watching.rs
@@ -1,20 +1,18 @@
-//! Who watches the store, and whom the others ask.
+//! Selects which gateways of a zone watch the store, and from whom the others copy.
 //!
-//! A configuration may be large, the store may be a region away behind a link that carries everything
-//! else, too, and it counts each call. So a few gateways of each zone watch the store, and the others
-//! are told by them. Who watches is a rendezvous order of the zone's members: no talk is needed, and
-//! where views differ, some more watch.
+//! A configuration may be large, and the store may be in another region behind a shared link and
+//! counts each request. So a few gateways of each zone, the first in rendezvous order, watch the
+//! store, and the others poll them. If views differ, a few more watch.
 //!
-//! Who asks widens slowly. A member that does not answer, or whose word is old, is passed over, and where
-//! none of those that are meant to watch is left, the next in order stand in. But a store that is slow or a
-//! link that is full makes everybody's word old, and more askers make both worse: each pair that joins is
-//! given half as much time again as the pair before it, and a stand-in first asks something small
-//! ([`Step::Probe`]). Where even that takes long, it is the way to the store that is slow, and the members
-//! whose words were old are trusted again for a while, once; then it stands in all the same, as nobody else
-//! may reach the store.
+//! More members read the store only gradually. A member that doesn't respond, or whose copy is
+//! stale, is skipped; if no designated watcher is left, the next members in order replace them. As
+//! a slow store or a congested link makes every copy stale, and more readers make that worse, each
+//! further pair of members tolerates older copies, and a replacement first sends a small request
+//! ([`Step::Probe`]). If that is slow too, stale members are accepted again for a while, once; then
+//! the replacement reads the store anyway, as nobody else may reach it.
 //!
-//! Who starts asks its neighbours for a first copy, and only the first in order asks the store where no
-//! neighbour has one.
+//! A starting gateway requests a first copy from its neighbours. Only the first in order reads the
+//! store if no neighbour has one.
 //!
 //! ```
 //! use gingerpier_base::Instant;
@@ -36,256 +34,263 @@
 /// Members of a zone that watch the store.
 pub const WATCHERS: usize = 2;
 
-/// Members that ask the store where nobody of the zone has a copy: a link between regions carries a
-/// megabyte in half a second.
-const FIRST_READERS: usize = 1;
+/// Members that read the store while no member of the zone has a copy; one, as a full copy may be
+/// large.
+const INITIAL_READERS: usize = 1;
 
-/// Milliseconds since the store's last word above which a watcher's word does not count.
-pub const MOST_AGE_MILLIS: u64 = 1_200;
+/// Maximum milliseconds since a watcher's last response from the store for its copy to be accepted.
+pub const MAX_AGE_MILLIS: u64 = 1_200;
 
-/// Pairs of members that are given more time than the pair before them.
-const MOST_PAIRS: usize = 5;
+/// Pairs of members, by rank, over which the accepted age grows.
+const MAX_AGE_STEPS: usize = 5;
 
-/// Milliseconds for which a member that did not answer is passed over.
-const SILENT_MILLIS: u64 = 3_000;
+/// Milliseconds for which an unresponsive member is skipped.
+const UNRESPONSIVE_SKIP_MILLIS: u64 = 3_000;
 
-/// Milliseconds for which a member whose word was old is passed over: its answer may be on its way.
-const OLD_MILLIS: u64 = 1_000;
+/// Milliseconds for which a member with a stale copy is skipped; short, as its next response from
+/// the store may be on its way.
+const STALE_SKIP_MILLIS: u64 = 1_000;
 
-/// Milliseconds that a small answer of the store takes at most where the way there is sound: twenty
-/// crossings between regions.
-const SOUND_MILLIS: u64 = 200;
+/// Maximum milliseconds of a probe of the store over an uncongested path.
+const MAX_NORMAL_PROBE_MILLIS: u64 = 200;
 
-/// Times that a small answer took for which words of any age are accepted then: what is on its way to those
-/// that are meant to watch stands in the same queue.
-const LENIENT_ANSWERS: u64 = 2;
+/// Multiple of a slow probe's duration for which copies of any age are accepted.
+const LENIENCY_PROBE_FACTOR: u64 = 2;
 
-/// Most milliseconds for which words of any age are accepted.
-const MOST_LENIENT_MILLIS: u64 = 1_000;
+/// Maximum milliseconds for which copies of any age are accepted.
+const MAX_LENIENCY_MILLIS: u64 = 1_000;
 
-/// Milliseconds after which they may be accepted again.
-const LENIENT_EVERY_MILLIS: u64 = 8_000;
+/// Milliseconds after which copies of any age may be accepted again.
+const LENIENCY_INTERVAL_MILLIS: u64 = 8_000;
 
-/// Milliseconds from the start within which a first neighbour is heard of, where there is one.
-const ALONE_MILLIS: u64 = 300;
+/// Milliseconds from the start within which a first neighbour is discovered, if there is one.
+const FIRST_NEIGHBOUR_MILLIS: u64 = 300;
 
-/// Milliseconds without a new neighbour after which all are taken to be known.
-const SETTLED_MILLIS: u64 = 120;
+/// Milliseconds without a new neighbour after which all count as known.
+const NEIGHBOURS_SETTLED_MILLIS: u64 = 120;
 
-/// Milliseconds from the start after which nobody waits for more neighbours.
-const MOST_SETTLING_MILLIS: u64 = 400;
+/// Maximum milliseconds from the start to wait for further neighbours.
+const MAX_SETTLING_MILLIS: u64 = 400;
 
-/// Milliseconds between looks for neighbours.
-const LOOK_MILLIS: u64 = 20;
+/// Milliseconds between checks for neighbours.
+const NEIGHBOUR_CHECK_MILLIS: u64 = 20;
 
-/// Whom to ask next.
+/// What to read next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// The store, for what is new or for everything.
+    /// Read the store, for changes or a full copy.
     Store,
-    /// The store, for how far it is.
+    /// Ask the store only for its revision.
     Probe,
-    /// A member, for what is new there.
+    /// Request changes from a member.
     Member(SocketAddr),
-    /// A member, for a first copy, which it may not have.
+    /// Request a first copy from a member, which may have none.
     FirstCopy(SocketAddr),
-    /// Nobody before then.
+    /// Do nothing before this time.
     Wait(Instant),
 }
 
-/// Why a member's word does not count.
+/// Why a member is skipped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// It did not answer.
+    /// It did not respond.
     Silent,
-    /// What it knows of the store is old, or nothing.
+    /// Its copy of the store is stale or missing.
     Old,
 }
 
-/// A member that failed, and until when it is passed over.
+/// A member that failed, and the end of the time for which it is skipped.
 #[derive(Debug, Clone, Copy)]
-struct PassedOver {
+struct SkippedMember {
     member: SocketAddr,
     failure: Failure,
     until: Instant,
 }
 
-/// Place of `member` in the order in which members watch the store; the least comes first.
-fn place(member: SocketAddr) -> (Reverse<u64>, SocketAddr) {
+/// Returns the key by which members are ordered as watchers, lowest first.
+fn rank_key(member: SocketAddr) -> (Reverse<u64>, SocketAddr) {
     (Reverse(order::hash(&member)), member)
 }
 
-/// `own` and the `members` of its zone, in the order in which they watch the store.
+/// Returns `own` and the other `members` of its zone in the order of watchers.
 fn ranked(own: SocketAddr, members: impl Iterator<Item = SocketAddr>) -> Vec<SocketAddr> {
     let mut ranked: Vec<SocketAddr> = members.filter(|member| *member != own).collect();
     ranked.push(own);
-    ranked.sort_by_cached_key(|member| place(*member));
+    ranked.sort_by_cached_key(|member| rank_key(*member));
     ranked
 }
 
-/// True where `own` is among those of its zone that watch the store; `members` are the others that
-/// are known.
+/// Returns true if `own` is a designated watcher among the known `members` of its zone.
 pub fn is_watcher(own: SocketAddr, members: impl Iterator<Item = SocketAddr>) -> bool {
     let mut ranked = ranked(own, members).into_iter().take(WATCHERS);
     ranked.any(|member| member == own)
 }
 
-/// What one member of a zone decides.
+/// Selects the source of one member's next read.
 #[derive(Debug, Clone)]
 pub struct Watching {
     own: SocketAddr,
     started: Instant,
-    /// Neighbours known, and when one was new last.
-    known: Vec<SocketAddr>,
-    newest_at: Instant,
-    /// Neighbours that were asked for a first copy and had none.
-    without_copy: Vec<SocketAddr>,
-    passed_over: Vec<PassedOver>,
-    /// Until when words of any age are accepted, and from when on they may be again.
-    lenient_until: Instant,
-    lenient_again: Instant,
-    /// True where a small answer has shown that the store is ahead.
-    may_stand_in: bool,
+    /// Known neighbours, and the time at which the last new one appeared.
+    known_members: Vec<SocketAddr>,
+    last_new_at: Instant,
+    /// Neighbours that had no first copy.
+    members_without_copy: Vec<SocketAddr>,
+    skipped: Vec<SkippedMember>,
+    /// Until when copies of any age are accepted, and from when on that may be repeated.
+    any_age_until: Instant,
+    next_leniency_at: Instant,
+    /// Set by a probe that found the store ahead: this member may replace a watcher.
+    may_replace_watcher: bool,
 }
 
 impl Watching {
-    /// State of the member `own`, which starts now and knows nothing yet.
+    /// Creates the state of member `own`, which starts now.
     pub const fn new(own: SocketAddr, now: Instant) -> Self {
         Self {
             own,
             started: now,
-            known: Vec::new(),
-            newest_at: now,
-            without_copy: Vec::new(),
-            passed_over: Vec::new(),
-            lenient_until: now,
-            lenient_again: now,
-            may_stand_in: false,
+            known_members: Vec::new(),
+            last_new_at: now,
+            members_without_copy: Vec::new(),
+            skipped: Vec::new(),
+            any_age_until: now,
+            next_leniency_at: now,
+            may_replace_watcher: false,
         }
     }
 
-    /// Whom to ask next; `members` are those of the zone that are known, and `has_copy` tells whether
-    /// this one has a copy of the store already.
+    /// Returns the next read; `members` are the known members of the zone, and `has_copy` tells
+    /// whether this one has a copy of the store.
     pub fn next(&mut self, members: &[SocketAddr], has_copy: bool, now: Instant) -> Step {
-        self.passed_over.retain(|one| !one.until.has_passed(now));
-        self.note_known(members, now);
+        self.skipped.retain(|one| !one.until.has_passed(now));
+        self.update_known_members(members, now);
         if !has_copy && !self.is_settled(now) {
-            return self.ask_for_first_copy(now);
+            return self.request_first_copy(now);
         }
         let count = match has_copy {
             true => WATCHERS,
-            false => FIRST_READERS,
+            false => INITIAL_READERS,
         };
         let ranked = ranked(self.own, members.iter().copied());
         if ranked.iter().take(count).any(|member| *member == self.own) {
             return Step::Store;
         }
-        let (meant, others) = ranked.split_at(count.min(ranked.len()));
-        let trusted = |pool: &[SocketAddr]| -> Vec<SocketAddr> {
-            let trusted = pool.iter().copied().filter(|one| self.is_trusted(*one));
-            trusted.take(count).collect()
+        let (designated, replacements) = ranked.split_at(count.min(ranked.len()));
+        let usable_of = |pool: &[SocketAddr]| -> Vec<SocketAddr> {
+            let usable = pool.iter().copied().filter(|one| self.is_usable(*one));
+            usable.take(count).collect()
         };
-        let mut asked = trusted(meant);
-        if asked.is_empty() {
-            asked = trusted(others);
+        let mut sources = usable_of(designated);
+        if sources.is_empty() {
+            sources = usable_of(replacements);
         }
-        if !asked.contains(&self.own) {
-            self.may_stand_in = false;
-            // Members spread over those that are asked.
-            let index = (order::mix(order::hash(&self.own)) % asked.len() as u64) as usize;
-            return Step::Member(asked[index]);
+        if !sources.contains(&self.own) {
+            self.may_replace_watcher = false;
+            // Spreads the members over the sources.
+            let index = (order::mix(order::hash(&self.own)) % sources.len() as u64) as usize;
+            return Step::Member(sources[index]);
         }
-        match std::mem::take(&mut self.may_stand_in) {
+        match std::mem::take(&mut self.may_replace_watcher) {
             true => Step::Store,
             false => Step::Probe,
         }
     }
 
-    /// Notes that the word of `member` does not count.
+    /// Records that `member` is to be skipped.
     pub fn note_failure(&mut self, member: SocketAddr, failure: Failure, now: Instant) {
         let millis = match failure {
-            Failure::Silent => SILENT_MILLIS,
-            Failure::Old => OLD_MILLIS,
+            Failure::Silent => UNRESPONSIVE_SKIP_MILLIS,
+            Failure::Old => STALE_SKIP_MILLIS,
         };
         let until = now.after_millis(millis);
-        self.passed_over.push(PassedOver {
+        self.skipped.push(SkippedMember {
             member,
             failure,
             until,
         });
     }
 
-    /// Notes that `member` has no copy of the store.
+    /// Records that `member` had no first copy.
     pub fn note_without_copy(&mut self, member: SocketAddr) {
-        self.without_copy.push(member);
+        self.members_without_copy.push(member);
     }
 
-    /// Notes what came of [`Step::Probe`], which took `millis`: whether the store is ahead.
+    /// Records the result of [`Step::Probe`]: whether the store is ahead, and the duration of the
+    /// probe.
     pub fn note_probe(&mut self, is_ahead: bool, millis: u64, now: Instant) {
-        // A slow way makes words old. It makes nobody silent, and to ask those again would cost twice the time
-        // that a member may take, 1.3 s, without news.
-        let is_old = |one: &PassedOver| one.failure == Failure::Old;
-        let may_wait = self.lenient_again.has_passed(now) && self.passed_over.iter().any(is_old);
-        if millis > SOUND_MILLIS && may_wait {
-            let lenient = (millis * LENIENT_ANSWERS).min(MOST_LENIENT_MILLIS);
-            self.lenient_until = now.after_millis(lenient);
-            self.lenient_again = now.after_millis(LENIENT_EVERY_MILLIS);
-            self.passed_over.retain(|one| !is_old(one));
+        // A slow path to the store makes copies stale, but members unresponsive no more likely;
+        // retrying those would only waste their timeouts.
+        let is_stale = |one: &SkippedMember| one.failure == Failure::Old;
+        let may_be_lenient =
+            self.next_leniency_at.has_passed(now) && self.skipped.iter().any(is_stale);
+        if millis > MAX_NORMAL_PROBE_MILLIS && may_be_lenient {
+            let leniency_millis = (millis * LENIENCY_PROBE_FACTOR).min(MAX_LENIENCY_MILLIS);
+            self.any_age_until = now.after_millis(leniency_millis);
+            self.next_leniency_at = now.after_millis(LENIENCY_INTERVAL_MILLIS);
+            self.skipped.retain(|one| !is_stale(one));
             return;
         }
-        self.may_stand_in = is_ahead;
+        self.may_replace_watcher = is_ahead;
     }
 
-    /// Milliseconds since the store's last word up to which the word of `member` counts.
+    /// Returns the accepted milliseconds since the last response of the store to `member`.
     pub fn most_age_millis(&self, member: SocketAddr, now: Instant) -> u64 {
-        if !self.lenient_until.has_passed(now) {
+        if !self.any_age_until.has_passed(now) {
             return u64::MAX;
         }
-        let pair = (self.rank(member) / WATCHERS).min(MOST_PAIRS);
-        (0..pair).fold(MOST_AGE_MILLIS, |age, _| age * 3 / 2)
+        let age_steps = (self.rank(member) / WATCHERS).min(MAX_AGE_STEPS);
+        (0..age_steps).fold(MAX_AGE_MILLIS, |age, _| age * 3 / 2)
     }
 
-    /// Members ahead of `member`, those that are passed over included.
+    /// Returns the number of members ahead of `member`, including skipped ones.
     fn rank(&self, member: SocketAddr) -> usize {
-        let its_place = place(member);
-        let others = self.known.iter().chain([&self.own]);
-        others.filter(|other| place(**other) < its_place).count()
+        let member_key = rank_key(member);
+        let members = self.known_members.iter().chain([&self.own]);
+        members
+            .filter(|other| rank_key(**other) < member_key)
+            .count()
     }
 
-    fn is_trusted(&self, member: SocketAddr) -> bool {
-        !self.passed_over.iter().any(|one| one.member == member)
+    fn is_usable(&self, member: SocketAddr) -> bool {
+        !self.skipped.iter().any(|one| one.member == member)
     }
 
-    fn note_known(&mut self, members: &[SocketAddr], now: Instant) {
-        // A large zone is not compared each with each at every question.
-        if self.known == members {
+    fn update_known_members(&mut self, members: &[SocketAddr], now: Instant) {
+        // Avoids the quadratic comparison at each call in a large zone.
+        if self.known_members == members {
             return;
         }
-        let has_new = members.iter().any(|member| !self.known.contains(member));
+        let has_new = members
+            .iter()
+            .any(|member| !self.known_members.contains(member));
         if has_new {
-            self.newest_at = now;
+            self.last_new_at = now;
         }
-        self.known = members
+        self.known_members = members
             .iter()
             .copied()
             .filter(|one| *one != self.own)
             .collect();
     }
 
-    /// True where no more neighbours are waited for.
+    /// Returns true if no further neighbours are expected.
     fn is_settled(&self, now: Instant) -> bool {
         let age = now.millis_since(self.started);
-        if self.known.is_empty() {
-            return age >= ALONE_MILLIS;
+        if self.known_members.is_empty() {
+            return age >= FIRST_NEIGHBOUR_MILLIS;
         }
-        let quiet = now.millis_since(self.newest_at);
-        quiet >= SETTLED_MILLIS || age >= MOST_SETTLING_MILLIS
+        let millis_since_new = now.millis_since(self.last_new_at);
+        millis_since_new >= NEIGHBOURS_SETTLED_MILLIS || age >= MAX_SETTLING_MILLIS
     }
 
-    fn ask_for_first_copy(&self, now: Instant) -> Step {
-        let known = self.known.iter().copied();
-        let not_asked = known.filter(|one| !self.without_copy.contains(one));
-        let next = not_asked.min_by_key(|one| place(*one));
-        next.map_or(Step::Wait(now.after_millis(LOOK_MILLIS)), Step::FirstCopy)
+    fn request_first_copy(&self, now: Instant) -> Step {
+        let members = self.known_members.iter().copied();
+        let untried = members.filter(|one| !self.members_without_copy.contains(one));
+        let next = untried.min_by_key(|one| rank_key(*one));
+        next.map_or(
+            Step::Wait(now.after_millis(NEIGHBOUR_CHECK_MILLIS)),
+            Step::FirstCopy,
+        )
     }
 }
--- a/crates/gingerpier_serving/src/zones.rs
+++ b/crates/gingerpier_serving/src/zones.rs
@@ -1,20 +1,20 @@
-//! What the gateways of one zone hear of the other zones.
+//! Exchanges digests of zone state between the gateways of different zones.
 //!
-//! A gateway hears the loaders of its own zone directly. If every gateway heard every loader, what
-//! crosses between zones would grow with gateways times engines. So a few gateways of each zone, the
-//! first in a rendezvous order, send a digest of their zone (its engines' load, its gateways) to a
-//! few gateways of each other zone, and those pass it on within theirs. What crosses a pair of zones
-//! does not grow with the gateways of either.
+//! A gateway receives reports directly from the loaders of its own zone. So that traffic between
+//! zones doesn't grow with gateways times engines, a few gateways of each zone, the first in
+//! rendezvous order, send a digest of their zone (load of its engines, list of its gateways) to a
+//! few gateways of each other zone, which forward it within theirs.
 //!
-//! Who of the own zone lives is found out by probes ([`Liveness`]); who of other zones, by what their digests name.
+//! Liveness of gateways in the own zone is tracked by probes ([`Liveness`]), in other zones by the
+//! gateway lists in their digests.
 //!
-//! Nobody is elected: where views differ, a digest is sent twice or by another member. Each sender
-//! takes the receivers by turns, so that one living sender and one living receiver are enough. Where no
-//! digest of a zone has come for a while, some of its engines are asked directly, more of them the
-//! longer it lasts ([`Exchange::sample`]); that is also how the first gateways of a zone are found.
+//! There is no election: if views differ, a digest is sent twice or by another gateway. Each sender
+//! rotates over the receivers, so one live sender and one live receiver suffice. If no digest of a
+//! zone arrives, some of its engines are polled directly, and more of them over time
+//! ([`Exchange::sample`]); the first gateways of a zone are found in the same way.
 //!
-//! Digests are older than what loaders say themselves. So where there are few gateways in all, each hears
-//! the loaders of all zones directly, and no digests are sent.
+//! Digests lag behind direct reports, so with few gateways in all, each polls the loaders of all
+//! zones directly and no digests are sent.
 
 use {
     crate::liveness::Liveness,
@@ -22,143 +22,144 @@
     std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr},
 };
 
-/// Gateways of a zone that send its digest: one may be dead before the others notice.
-pub const SENDERS: usize = 2;
+/// Gateways of a zone that send its digest; more than one, as a sender may have died unnoticed.
+pub const DIGEST_SENDERS: usize = 2;
 
-/// Gateways of a zone that a sender sends to, by turns.
-const RECEIVERS: usize = 2;
+/// Gateways of a zone to which a sender sends in rotation.
+const DIGEST_RECEIVERS: usize = 2;
 
-/// Most gateways of all zones that hear every loader directly. A loader that reports to 16 of them four
-/// times a second sends 7 KB/s, half of what a node may spend on control.
-const MOST_DIRECT: u32 = 16;
+/// Gateways of all zones up to which each polls every loader directly; bounds the control traffic
+/// of a loader.
+const MAX_DIRECT_GATEWAYS: u32 = 16;
 
-/// Milliseconds from the first word of the gateways of the own zone until their number counts: two
-/// rounds of naming.
-const COUNTED_AFTER_MILLIS: u64 = 1_000;
+/// Milliseconds from the first mention of another gateway in the own zone until the number of
+/// gateways counts as known.
+const COUNT_SETTLE_MILLIS: u64 = 1_000;
 
-/// Milliseconds between two digests of one sender. With two senders a zone is heard every 250 ms on
-/// average, as often as loaders reported to other zones when each did so itself.
-const SEND_EVERY_MILLIS: u64 = 500;
+/// Milliseconds between two digests of one sender.
+const DIGEST_INTERVAL_MILLIS: u64 = 500;
 
-/// Least milliseconds between two digests of one sender, where there is news: a quarter of the notice
-/// that is given before an engine takes new weights.
-const NEWS_EVERY_MILLIS: u64 = 110;
+/// Minimum milliseconds between two digests of one sender when there are urgent changes, such as an
+/// announced weight update.
+const URGENT_DIGEST_INTERVAL_MILLIS: u64 = 110;
 
-/// Milliseconds after a gateway of another zone was last named from which on it does not count as living: ten digests.
-const MEMBER_LIFE_MILLIS: u64 = 2_500;
+/// Milliseconds without a mention after which a gateway of another zone counts as dead.
+const MEMBER_TIMEOUT_MILLIS: u64 = 2_500;
 
-/// Milliseconds for which a gateway that is no longer named still has its part of what all gateways
-/// share, such as retries: it may only be cut off from here.
-const MEMBER_MEMORY_MILLIS: u64 = 60_000;
+/// Milliseconds without a mention for which a gateway of another zone still counts when limits are
+/// divided among all gateways, as only the link may be down.
+const MEMBER_RETENTION_MILLIS: u64 = 60_000;
 
-/// Milliseconds without a digest after which a zone is silent: four are missing by then.
-const SILENT_MILLIS: u64 = 1_200;
+/// Milliseconds without a digest after which a zone is silent.
+const ZONE_TIMEOUT_MILLIS: u64 = 1_200;
 
-/// Milliseconds without a word of a sender after which a lower stamp is that of a new process, not an
-/// old digest that comes late.
-const RESTARTED_MILLIS: u64 = 2_000;
+/// Milliseconds without a digest of a sender after which a lower stamp means that the sender
+/// restarted, and not that a digest is late.
+const SENDER_RESTART_MILLIS: u64 = 2_000;
 
-/// Engines of a silent zone that are asked directly at first.
-const LEAST_SAMPLE: usize = 4;
+/// Engines of a silent zone that a gateway polls directly at first.
+const MIN_SAMPLE_ENGINES: usize = 4;
 
-/// Milliseconds of silence after which twice as many are asked.
-const SAMPLE_DOUBLES_MILLIS: u64 = 1_500;
+/// Milliseconds of silence after which the sample doubles.
+const SAMPLE_DOUBLING_MILLIS: u64 = 1_500;
 
-/// Most engines of a silent zone that one gateway asks.
-const MOST_SAMPLE: usize = 16;
+/// Maximum engines of a silent zone that one gateway polls.
+const MAX_SAMPLE_ENGINES: usize = 16;
 
-/// Gateways of the own zone that ask a silent zone's engines at first, twice as many each time that their sample doubles:
-/// whatever the size of both zones, what is asked stays bounded while a zone is cut off.
-const FIRST_ASKERS: usize = 8;
+/// Gateways of the own zone that poll engines of a silent zone at first; doubles with the sample,
+/// so that the load stays bounded for zones of any size.
+const MIN_SAMPLING_GATEWAYS: usize = 8;
 
-/// Zones that are kept: names come from messages, too.
-const MOST_ZONES: usize = 256;
+/// Maximum zones, as names also come from messages.
+const MAX_ZONES: usize = 256;
 
-/// Where a part of a digest comes from.
+/// Header of one part of a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Heading<'a> {
-    /// Zone that it tells of.
+    /// Zone that the digest describes.
     pub zone: &'a str,
-    /// Gateway of that zone which made it.
+    /// Gateway that made the digest.
     pub sender: SocketAddr,
-    /// Number that rises with each digest of one process of the sender.
+    /// Rises with each digest of one process of the sender.
     pub stamp: u64,
-    /// Part of the digest.
+    /// Index of the part.
     pub part: u32,
     /// Gateways of the zone, as far as the sender knows.
     pub gateway_count: u32,
 }
 
-/// What becomes of a part of a digest.
+/// Whether a part of a digest is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reception {
-    /// It is newer than what is known.
+    /// Newer than all known parts.
     News,
-    /// It came before, or something newer did.
+    /// Repeated, out of order, or of the own zone.
     Old,
 }
 
-/// The last that came of one sender.
+/// The newest digest of a stream.
 #[derive(Debug, Clone, Copy)]
-struct Last {
+struct NewestDigest {
     stamp: u64,
     at: Instant,
 }
 
-/// A part of a sender's digests.
+/// Sequence of digests of one sender with the same part index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Stream {
+struct DigestStream {
     sender: SocketAddr,
     part: u32,
 }
 
-/// What is known of one zone.
+/// State of one zone.
 #[derive(Debug, Clone, Default)]
 struct Zone {
-    /// Gateways, and when each was last named; those of the own zone are known by probes.
+    /// Gateways with the time of their last mention; empty for the own zone.
     members: BTreeMap<SocketAddr, Instant>,
-    /// When any of them was named last.
-    newest: Option<Instant>,
-    /// Gateways that a sender of the zone counted last.
-    told_count: u32,
-    /// When a digest came last.
-    heard: Option<Instant>,
-    last: BTreeMap<Stream, Last>,
+    /// Time of the last mention of any gateway.
+    last_mention_at: Option<Instant>,
+    /// Number of gateways in the last digest.
+    reported_count: u32,
+    /// Time of the last digest.
+    last_digest_at: Option<Instant>,
+    newest_digests: BTreeMap<DigestStream, NewestDigest>,
 }
 
 impl Zone {
     fn living(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
-        let is_living = move |at: &Instant| now.millis_since(*at) < MEMBER_LIFE_MILLIS;
+        let is_living = move |at: &Instant| now.millis_since(*at) < MEMBER_TIMEOUT_MILLIS;
         let living = self.members.iter().filter(move |(_, at)| is_living(at));
         living.map(|(member, _)| *member)
     }
 
-    /// Members that lived when the zone was heard of last: while nobody is heard, nobody is known to be gone.
-    fn last_living(&self) -> impl Iterator<Item = SocketAddr> {
-        let newest = self.newest.unwrap_or_default();
-        self.living(newest)
+    /// Returns the gateways that were alive at the last mention of any of them, so that none is
+    /// dropped while the zone is silent.
+    fn alive_at_last_mention(&self) -> impl Iterator<Item = SocketAddr> {
+        let last_mention_at = self.last_mention_at.unwrap_or_default();
+        self.living(last_mention_at)
     }
 
     fn count(&self) -> u32 {
-        self.told_count.max(self.members.len() as u32)
+        self.reported_count.max(self.members.len() as u32)
     }
 
-    fn forget(&mut self, now: Instant) {
-        let memory = |at: Instant| now.millis_since(at) < MEMBER_MEMORY_MILLIS;
-        self.members.retain(|_, at| memory(*at));
-        self.last.retain(|_, last| memory(last.at));
+    fn drop_expired(&mut self, now: Instant) {
+        let is_retained = |at: Instant| now.millis_since(at) < MEMBER_RETENTION_MILLIS;
+        self.members.retain(|_, at| is_retained(*at));
+        self.newest_digests
+            .retain(|_, newest| is_retained(newest.at));
     }
 }
 
-/// The first `count` of `members`, in rendezvous order.
-fn first(members: impl Iterator<Item = SocketAddr>, count: usize) -> Vec<SocketAddr> {
+/// Returns the first `count` of `members` in rendezvous order.
+fn top_ranked(members: impl Iterator<Item = SocketAddr>, count: usize) -> Vec<SocketAddr> {
     let mut members: Vec<SocketAddr> = members.collect();
     members.sort_by_key(|member| (Reverse(order::hash(member)), *member));
     members.truncate(count);
     members
 }
 
-/// What one gateway knows of all zones, and when it sends.
+/// A gateway's view of all zones, and its schedule of digests.
 #[derive(Debug, Clone)]
 pub struct Exchange {
     own: SocketAddr,
@@ -166,15 +167,15 @@
     zones: BTreeMap<String, Zone>,
     liveness: Liveness,
     started: Instant,
-    /// When somebody named a gateway of the own zone first.
-    named: Option<Instant>,
-    turn: usize,
-    sent: Instant,
-    has_news: bool,
+    /// Time of the first mention of another gateway in the own zone.
+    first_mention_at: Option<Instant>,
+    rotation: usize,
+    last_sent: Instant,
+    has_urgent_changes: bool,
 }
 
 impl Exchange {
-    /// Exchange of the gateway `own` of `own_zone`, which starts now and knows the names of `zones`.
+    /// Creates the exchange of gateway `own` in `own_zone`, with the names of all `zones`.
     pub fn new<'a>(
         own: SocketAddr,
         own_zone: &str,
@@ -191,65 +192,65 @@
             zones,
             liveness: Liveness::new(own, 0, now),
             started: now,
-            named: None,
-            turn: 0,
-            sent: now,
-            has_news: false,
+            first_mention_at: None,
+            rotation: 0,
+            last_sent: now,
+            has_urgent_changes: false,
         }
     }
 
-    /// The same in an incarnation, which should rise with each start of the gateway.
+    /// Sets the incarnation of this gateway, which should rise with each of its starts.
     pub fn in_incarnation(mut self, incarnation: u64) -> Self {
         self.liveness = Liveness::new(self.own, incarnation, self.started);
         self
     }
 
-    /// Notes a gateway that somebody heard of.
+    /// Records a mention of a gateway.
     pub fn note_member(&mut self, zone: &str, member: SocketAddr, now: Instant) {
         if zone == self.own_zone {
-            self.named = self.named.or(Some(now));
+            self.first_mention_at = self.first_mention_at.or(Some(now));
             self.liveness.note_named(member, now);
         } else if let Some(zone) = self.zone_mut(zone) {
             zone.members.insert(member, now);
-            zone.newest = Some(now);
+            zone.last_mention_at = Some(now);
         }
     }
 
-    /// Who lives of the own zone.
+    /// Liveness of the gateways in the own zone.
     pub const fn liveness(&mut self) -> &mut Liveness {
         &mut self.liveness
     }
 
-    /// Notes that others should soon hear something of this zone.
+    /// Requests that the next digest be sent early.
     pub const fn note_news(&mut self) {
-        self.has_news = true;
+        self.has_urgent_changes = true;
     }
 
     fn zone_mut(&mut self, name: &str) -> Option<&mut Zone> {
-        if !self.zones.contains_key(name) && self.zones.len() >= MOST_ZONES {
+        if !self.zones.contains_key(name) && self.zones.len() >= MAX_ZONES {
             return None;
         }
         Some(self.zones.entry(name.to_owned()).or_default())
     }
 
-    /// Other gateways that live, by zone.
+    /// Returns the other live gateways with their zones.
     pub fn living(&self, now: Instant) -> impl Iterator<Item = (&str, SocketAddr)> {
-        let near = self.liveness.living();
-        let near = near.map(|member| (self.own_zone.as_str(), member));
+        let local = self.liveness.living();
+        let local = local.map(|member| (self.own_zone.as_str(), member));
         let zones = self.zones.iter();
-        let far = zones.flat_map(move |(name, zone)| {
+        let remote = zones.flat_map(move |(name, zone)| {
             let members = zone.living(now);
             members.map(move |member| (name.as_str(), member))
         });
-        near.chain(far)
+        local.chain(remote)
     }
 
-    /// Other gateways of the own zone that live.
+    /// Returns the other live gateways of the own zone.
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         self.liveness.living().collect()
     }
 
-    /// Gateways of `zone`, this one included where it is its own.
+    /// Returns the number of gateways in `zone`, including this one.
     pub fn zone_count(&self, zone: &str) -> u32 {
         match zone == self.own_zone {
             true => self.liveness.known_count() as u32,
@@ -257,8 +258,8 @@
         }
     }
 
-    /// Gateways of all zones, this one included, to count on when shares are made. A zone of which
-    /// nothing is known yet counts as large as the own one.
+    /// Returns the number of gateways in all zones, including this one, by which limits are
+    /// divided. A zone without data counts as large as the own one.
     pub fn gateway_count(&self) -> u32 {
         let own = self.zone_count(&self.own_zone);
         let others = self
@@ -272,11 +273,13 @@
         own + counts.sum::<u32>()
     }
 
-    /// True where this gateway is among the first `count` of all that live, in an order of `subject`'s own; never before
-    /// those of its zone were counted.
+    /// Returns true if this gateway is among the first `count` live ones in a rendezvous order for
+    /// `subject`; false until the gateways of the own zone are counted.
     pub fn is_among(&self, subject: u64, count: usize, now: Instant) -> bool {
-        let counted = self.named.map(|at| at.after_millis(COUNTED_AFTER_MILLIS));
-        if !counted.is_some_and(|at| at.has_passed(now)) {
+        let count_settles_at = self
+            .first_mention_at
+            .map(|at| at.after_millis(COUNT_SETTLE_MILLIS));
+        if !count_settles_at.is_some_and(|at| at.has_passed(now)) {
             return false;
         }
         let score = |member: &SocketAddr| order::mix(subject ^ order::hash(member));
@@ -286,44 +289,43 @@
         ahead.take(count).count() < count
     }
 
-    /// Gateways to which a digest of the own zone goes now; none where it is not the time, or others
-    /// send it.
+    /// Returns the gateways to which a digest of the own zone is sent now.
     pub fn poll(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let every = match self.has_news {
-            true => NEWS_EVERY_MILLIS,
-            false => SEND_EVERY_MILLIS,
+        let interval_millis = match self.has_urgent_changes {
+            true => URGENT_DIGEST_INTERVAL_MILLIS,
+            false => DIGEST_INTERVAL_MILLIS,
         };
-        if now.millis_since(self.sent) < every {
+        if now.millis_since(self.last_sent) < interval_millis {
             return Vec::new();
         }
-        self.sent = now;
-        self.has_news = false;
-        self.turn += 1;
+        self.last_sent = now;
+        self.has_urgent_changes = false;
+        self.rotation += 1;
         for zone in self.zones.values_mut() {
-            zone.forget(now);
+            zone.drop_expired(now);
         }
         if self.is_direct(now) {
             return Vec::new();
         }
-        let near = self.liveness.living().chain([self.own]);
-        let senders = first(near, SENDERS);
+        let local = self.liveness.living().chain([self.own]);
+        let senders = top_ranked(local, DIGEST_SENDERS);
         let Some(rank) = senders.iter().position(|sender| *sender == self.own) else {
             return Vec::new();
         };
-        let turn = self.turn + rank;
+        let rotation = self.rotation + rank;
         let others = self
             .zones
             .iter()
             .filter(|(name, _)| **name != self.own_zone);
         let receiver = |(_, zone): (&String, &Zone)| {
-            let receivers = first(zone.last_living(), RECEIVERS);
-            let index = turn.checked_rem(receivers.len())?;
+            let receivers = top_ranked(zone.alive_at_last_mention(), DIGEST_RECEIVERS);
+            let index = rotation.checked_rem(receivers.len())?;
             Some(receivers[index])
         };
         others.filter_map(receiver).collect()
     }
 
-    /// Takes the heading of a part that came.
+    /// Checks the header of a received part and records it.
     pub fn take(&mut self, heading: &Heading<'_>, now: Instant) -> Reception {
         if heading.zone == self.own_zone {
             return Reception::Old;
@@ -331,38 +333,42 @@
         let Some(zone) = self.zone_mut(heading.zone) else {
             return Reception::Old;
         };
-        let stream = Stream {
+        let stream = DigestStream {
             sender: heading.sender,
             part: heading.part,
         };
-        let is_old = zone.last.get(&stream).is_some_and(|last| {
-            heading.stamp <= last.stamp && now.millis_since(last.at) < RESTARTED_MILLIS
+        let is_stale = zone.newest_digests.get(&stream).is_some_and(|newest| {
+            heading.stamp <= newest.stamp && now.millis_since(newest.at) < SENDER_RESTART_MILLIS
         });
-        if is_old {
+        if is_stale {
             return Reception::Old;
         }
         let stamp = heading.stamp;
-        zone.last.insert(stream, Last { stamp, at: now });
-        zone.heard = Some(now);
-        zone.told_count = heading.gateway_count;
+        zone.newest_digests
+            .insert(stream, NewestDigest { stamp, at: now });
+        zone.last_digest_at = Some(now);
+        zone.reported_count = heading.gateway_count;
         Reception::News
     }
 
-    /// True where there are so few gateways that each hears the loaders of all zones directly.
+    /// Returns true if there are few enough gateways for each to poll the loaders of all zones.
     pub fn is_direct(&self, now: Instant) -> bool {
-        let counted = self.named.map(|at| at.after_millis(COUNTED_AFTER_MILLIS));
-        let is_counted = counted.is_some_and(|at| at.has_passed(now));
-        is_counted && self.gateway_count() <= MOST_DIRECT
+        let count_settles_at = self
+            .first_mention_at
+            .map(|at| at.after_millis(COUNT_SETTLE_MILLIS));
+        let is_counted = count_settles_at.is_some_and(|at| at.has_passed(now));
+        is_counted && self.gateway_count() <= MAX_DIRECT_GATEWAYS
     }
 
-    /// True where digests of `zone` come.
+    /// Returns true if a digest of `zone` arrived recently.
     pub fn is_heard(&self, zone: &str, now: Instant) -> bool {
-        let heard = self.zones.get(zone).and_then(|zone| zone.heard);
-        heard.is_some_and(|heard| now.millis_since(heard) < SILENT_MILLIS)
+        let last_digest_at = self.zones.get(zone).and_then(|zone| zone.last_digest_at);
+        last_digest_at
+            .is_some_and(|last_digest_at| now.millis_since(last_digest_at) < ZONE_TIMEOUT_MILLIS)
     }
 
-    /// Engines of another `zone` to ask directly: all where there are few gateways, or else none while
-    /// its digests come.
+    /// Returns the number of engines of another `zone` that this gateway polls directly: all with
+    /// few gateways, none while digests of the zone arrive.
     pub fn sample(&self, zone: &str, now: Instant) -> usize {
         if self.is_direct(now) {
             return usize::MAX;
@@ -370,22 +376,28 @@
         if self.is_heard(zone, now) {
             return 0;
         }
-        let heard = self.zones.get(zone).and_then(|zone| zone.heard);
-        let since = heard.map_or(self.started, |heard| heard.after_millis(SILENT_MILLIS));
-        let doublings = now.millis_since(since) / SAMPLE_DOUBLES_MILLIS;
-        let most = u64::from((MOST_SAMPLE / LEAST_SAMPLE).ilog2());
-        let doublings = doublings.min(most);
-        if !self.is_among_near(FIRST_ASKERS << doublings) {
+        let last_digest_at = self.zones.get(zone).and_then(|zone| zone.last_digest_at);
+        let since = last_digest_at.map_or(self.started, |last_digest_at| {
+            last_digest_at.after_millis(ZONE_TIMEOUT_MILLIS)
+        });
+        let doublings = now.millis_since(since) / SAMPLE_DOUBLING_MILLIS;
+        let max_doublings = u64::from((MAX_SAMPLE_ENGINES / MIN_SAMPLE_ENGINES).ilog2());
+        let doublings = doublings.min(max_doublings);
+        if !self.is_among_local(MIN_SAMPLING_GATEWAYS << doublings) {
             return 0;
         }
-        LEAST_SAMPLE << doublings
+        MIN_SAMPLE_ENGINES << doublings
     }
 
-    /// True where this gateway is among the first `count` of its zone, in the order in which they send digests.
-    fn is_among_near(&self, count: usize) -> bool {
-        let place = |member: &SocketAddr| (Reverse(order::hash(member)), *member);
-        let own = place(&self.own);
-        let ahead = self.liveness.living().filter(|member| place(member) < own);
+    /// Returns true if this gateway is among the first `count` of its zone, in the order of digest
+    /// senders.
+    fn is_among_local(&self, count: usize) -> bool {
+        let rank_key = |member: &SocketAddr| (Reverse(order::hash(member)), *member);
+        let own_key = rank_key(&self.own);
+        let ahead = self
+            .liveness
+            .living()
+            .filter(|member| rank_key(member) < own_key);
         ahead.take(count).count() < count
     }
 }
--- a/crates/gingerpier_serving/tests/liveness.rs
+++ b/crates/gingerpier_serving/tests/liveness.rs
@@ -6,7 +6,7 @@
 
 use {
     gingerpier_base::{Instant, order},
-    gingerpier_serving::liveness::{Liveness, MAX_NEWS},
+    gingerpier_serving::liveness::{Liveness, MAX_UPDATES},
     std::net::SocketAddr,
 };
 
@@ -123,7 +123,7 @@
             gateway.liveness.incarnation(),
         );
         let is_cut = gateway.is_cut;
-        assert!(news.len() <= MAX_NEWS);
+        assert!(news.len() <= MAX_UPDATES);
         self.messages += 1;
         self.bytes += MESSAGE_BYTES + NEWS_BYTES * news.len();
         let is_lost = self.draw() % 100 < self.lost_percent;
--- a/crates/gingerpier_serving/tests/watching.rs
+++ b/crates/gingerpier_serving/tests/watching.rs
@@ -4,7 +4,7 @@
     gingerpier_base::Instant,
     gingerpier_serving::{
         mirror::{Item, Mirror, Revision},
-        watching::{self, Failure, MOST_AGE_MILLIS, Step, WATCHERS, Watching},
+        watching::{self, Failure, MAX_AGE_MILLIS, Step, WATCHERS, Watching},
     },
     proptest::prelude::*,
     std::net::SocketAddr,
@@ -152,7 +152,7 @@
     };
     assert!(watching.most_age_millis(member, now) > 60_000);
     now = now.after_millis(700);
-    assert!(watching.most_age_millis(member, now) <= MOST_AGE_MILLIS);
+    assert!(watching.most_age_millis(member, now) <= MAX_AGE_MILLIS);
     while let Step::Member(member) = watching.next(&all, true, now) {
         watching.note_failure(member, Failure::Old, now);
     }
--- a/crates/gingerpier_serving/tests/zones.rs
+++ b/crates/gingerpier_serving/tests/zones.rs
@@ -3,7 +3,7 @@
 
 use {
     gingerpier_base::{Instant, order},
-    gingerpier_serving::zones::{Exchange, Heading, Reception, SENDERS},
+    gingerpier_serving::zones::{DIGEST_SENDERS, Exchange, Heading, Reception},
     proptest::prelude::*,
     std::net::SocketAddr,
 };
@@ -14,7 +14,7 @@
 /// Milliseconds without a digest for which a zone must still count as heard.
 const HEARD_MILLIS: u64 = 1_200;
 /// Digests of one zone to another that are made within [`HEARD_MILLIS`]: two rounds of each sender.
-const MADE: usize = 2 * SENDERS;
+const MADE: usize = 2 * DIGEST_SENDERS;
 /// Milliseconds for which fates are kept: longer than [`HEARD_MILLIS`] and two delays.
 const FATES_KEPT_MILLIS: u64 = 3_000;
 /// Per cent of lost packets below which, in each of the 300,000 cases that can be drawn, one of three
@@ -354,7 +354,7 @@
 #[test]
 fn what_crosses_between_zones_does_not_grow_with_the_gateways() {
     let pairs = ZONES * (ZONES - 1);
-    let most = pairs * SENDERS * 10_000 / 500;
+    let most = pairs * DIGEST_SENDERS * 10_000 / 500;
     for count in [6, 10, 40] {
         let crossed = crossings(count);
         assert!(
