--- a/crates/gingerpier_serving/tests/asking.rs
+++ b/crates/gingerpier_serving/tests/asking.rs
@@ -1,5 +1,4 @@
-//! Whom loaders ask: never the store all at once, never the store where a gateway answers, and never
-//! nobody for ever.
+//! Guards against loaders that overload the store, bypass a responsive gateway, or stop polling.
 
 use {
     gingerpier_base::Instant,
@@ -8,17 +7,17 @@
     std::net::SocketAddr,
 };
 
-/// Loaders of a zone at the largest site that is known.
+/// Loaders of a zone at the largest site.
 const ZONE_LOADERS: usize = 41;
 
-/// Most calls of the store in any 100 ms that count as few: 204 loaders at once made 204.
-const FEW_CALLS: usize = 10;
+/// Maximum reads of the store in any 100 ms.
+const MAX_READS_IN_100_MILLIS: usize = 10;
 
-/// Milliseconds between looks in these tests.
+/// Milliseconds per step of the tests.
 const STEP_MILLIS: u64 = 10;
 
-/// Longest pause after a failure, in milliseconds.
-const MOST_PAUSE_MILLIS: u64 = 16_000;
+/// Maximum delay in milliseconds after a failure of the store.
+const MAX_BACKOFF_MILLIS: u64 = 16_000;
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
@@ -42,20 +41,20 @@
     }
 }
 
-/// When `asking` asks the store first, where it hears nobody.
-fn first_call(mut asking: Asking) -> u64 {
-    let nobody = heard(&[], Knowledge::Nothing);
-    match asking.next(&nobody, at(0)) {
+/// Returns when `asking` first reads the store without a gateway, in milliseconds.
+fn first_read_millis(mut asking: Asking) -> u64 {
+    let unreachable = heard(&[], Knowledge::Nothing);
+    match asking.next(&unreachable, at(0)) {
         Step::Wait(until) => {
-            assert_eq!(asking.next(&nobody, until), Step::Store);
+            assert_eq!(asking.next(&unreachable, until), Step::Store);
             until.as_millis()
         }
         other => panic!("{other:?} at the start"),
     }
 }
 
-/// Most of `times` that lie within 100 ms.
-fn most_at_once(mut times: Vec<u64>) -> usize {
+/// Returns the maximum number of `times` within 100 ms.
+fn max_in_100_millis(mut times: Vec<u64>) -> usize {
     times.sort_unstable();
     let within = |(index, first): (usize, &u64)| {
         let later = times[index..].iter();
@@ -64,7 +63,7 @@
     times.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
-/// Loaders of a site, which start at once.
+/// Creates the loaders of a site, which start at the same time.
 fn site(zones: usize, zone_loaders: usize, offset: usize) -> Vec<Asking> {
     let zone = |zone| (0..zone_loaders).map(move |number| loader(zone, offset + number));
     let all = (0..zones).flat_map(zone);
@@ -72,92 +71,98 @@
 }
 
 #[test]
-fn few_of_the_largest_site_ask_the_store_at_once() {
+fn loaders_of_the_largest_site_do_not_read_the_store_all_at_once() {
     let times: Vec<u64> = site(5, ZONE_LOADERS, 10)
         .into_iter()
-        .map(first_call)
+        .map(first_read_millis)
         .collect();
-    let most = most_at_once(times.clone());
-    assert!(most <= FEW_CALLS, "{most} calls in 100 ms");
+    let max_reads = max_in_100_millis(times.clone());
+    assert!(
+        max_reads <= MAX_READS_IN_100_MILLIS,
+        "{max_reads} reads in 100 ms"
+    );
     assert!(times.iter().all(|time| (2_000..12_000).contains(time)));
 }
 
 #[test]
-fn a_loader_that_hears_few_watches_weights_and_one_that_hears_many_watches_nothing() {
+fn a_loader_watches_releases_only_with_few_gateways() {
     for count in 0..6 {
         let mut asking = Asking::new(loader(1, 1), 3, at(0));
-        let near = gateways(count);
-        let heard = heard(&near, Knowledge::Enough);
-        let later = |asking: &mut Asking| asking.next(&heard, at(10_000));
+        let zone_gateways = gateways(count);
+        let heard = heard(&zone_gateways, Knowledge::Enough);
+        let step_at_10_s = |asking: &mut Asking| asking.next(&heard, at(10_000));
         assert!(matches!(asking.next(&heard, at(0)), Step::Wait(_)));
         match count < MANY_GATEWAYS {
-            true => assert_eq!(later(&mut asking), Step::Weights),
-            false => assert!(matches!(later(&mut asking), Step::Wait(_))),
+            true => assert_eq!(step_at_10_s(&mut asking), Step::Weights),
+            false => assert!(matches!(step_at_10_s(&mut asking), Step::Wait(_))),
         }
     }
 }
 
 #[test]
-fn what_is_outdated_is_asked_for_at_once_and_loaders_share_the_gateways() {
-    let near = gateways(3);
-    let mut asked: Vec<SocketAddr> = Vec::new();
+fn outdated_loaders_poll_at_once_and_spread_over_the_gateways() {
+    let zone_gateways = gateways(3);
+    let mut polled: Vec<SocketAddr> = Vec::new();
     for mut asking in site(1, ZONE_LOADERS, 1) {
-        asking.next(&heard(&near, Knowledge::Enough), at(0));
-        match asking.next(&heard(&near, Knowledge::Outdated), at(10)) {
-            Step::Gateway(gateway) => asked.push(gateway),
-            other => panic!("{other:?} where gateways know more"),
+        asking.next(&heard(&zone_gateways, Knowledge::Enough), at(0));
+        match asking.next(&heard(&zone_gateways, Knowledge::Outdated), at(10)) {
+            Step::Gateway(gateway) => polled.push(gateway),
+            other => panic!("{other:?} although gateways have a newer configuration"),
         }
     }
-    for gateway in near {
-        assert!(asked.iter().filter(|one| **one == gateway).count() > 3);
+    for gateway in zone_gateways {
+        assert!(polled.iter().filter(|one| **one == gateway).count() > 3);
     }
 }
 
 #[test]
-fn each_gateway_is_tried_before_the_store_and_the_store_before_nobody() {
-    let near = gateways(3);
-    let lost = heard(&near, Knowledge::Nothing);
+fn the_store_is_read_only_after_each_gateway_failed() {
+    let zone_gateways = gateways(3);
+    let without_configuration = heard(&zone_gateways, Knowledge::Nothing);
     let mut asking = Asking::new(loader(1, 1), 1, at(0));
-    let mut tried = Vec::new();
+    let mut polled_gateways = Vec::new();
     let mut now = at(0);
     loop {
-        match asking.next(&lost, now) {
+        match asking.next(&without_configuration, now) {
             Step::Gateway(gateway) => {
-                tried.push(gateway);
+                polled_gateways.push(gateway);
                 asking.note_failure(Source::Gateway, now, u64::MAX);
             }
             Step::Store => break,
             Step::Wait(until) => now = until,
-            Step::Weights => panic!("many gateways are near"),
+            Step::Weights => panic!("enough gateways are in the zone"),
         }
     }
-    tried.sort_unstable();
-    tried.dedup();
-    assert_eq!(tried, near);
+    polled_gateways.sort_unstable();
+    polled_gateways.dedup();
+    assert_eq!(polled_gateways, zone_gateways);
     asking.note_failure(Source::Store, now, 0);
-    assert!(matches!(asking.next(&lost, at(60_000)), Step::Gateway(_)));
+    assert!(matches!(
+        asking.next(&without_configuration, at(60_000)),
+        Step::Gateway(_)
+    ));
 }
 
 #[test]
-fn pauses_grow_from_half_a_second_to_sixteen() {
+fn backoff_grows_from_half_a_second_to_sixteen() {
     let mut asking = Asking::new(loader(1, 1), 1, at(0));
-    let nobody = heard(&[], Knowledge::Nothing);
+    let unreachable = heard(&[], Knowledge::Nothing);
     let now = at(100_000);
-    assert!(matches!(asking.next(&nobody, now), Step::Store));
-    let mut pauses = Vec::new();
+    assert!(matches!(asking.next(&unreachable, now), Step::Store));
+    let mut delays_millis = Vec::new();
     for _ in 0..8 {
-        // The draw that gives the longest pause of each range.
-        let draw = pauses
+        // The draw that yields the maximum delay.
+        let draw = delays_millis
             .last()
-            .map_or(500, |last: &u64| (last * 2).min(16_000));
+            .map_or(500, |last_delay: &u64| (last_delay * 2).min(16_000));
         asking.note_failure(Source::Store, now, draw);
-        match asking.next(&nobody, now) {
-            Step::Wait(until) => pauses.push(until.millis_since(now)),
+        match asking.next(&unreachable, now) {
+            Step::Wait(until) => delays_millis.push(until.millis_since(now)),
             other => panic!("{other:?} right after a failure"),
         }
     }
     assert_eq!(
-        pauses,
+        delays_millis,
         [500, 1_000, 2_000, 4_000, 8_000, 16_000, 16_000, 16_000]
     );
 }
@@ -165,40 +170,38 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(500))]
 
-    /// Without a gateway, loaders that start at once ask the store a few at a time, whoever they are.
     #[test]
-    fn loaders_that_start_at_once_ask_the_store_a_few_at_a_time(
+    fn reads_of_the_store_are_spread_at_any_site(
         zones in 1_usize..6,
         zone_loaders in 1..=ZONE_LOADERS,
         offset in 0_usize..200,
     ) {
-        let times: Vec<u64> = site(zones, zone_loaders, offset).into_iter().map(first_call).collect();
+        let times: Vec<u64> = site(zones, zone_loaders, offset).into_iter().map(first_read_millis).collect();
         prop_assert!(times.iter().all(|time| *time >= 2_000));
         prop_assert!(times.iter().all(|time| *time <= 2_000 + 2_000 * zones as u64));
-        prop_assert!(most_at_once(times) <= FEW_CALLS);
+        prop_assert!(max_in_100_millis(times) <= MAX_READS_IN_100_MILLIS);
     }
 
-    /// Where a gateway is heard within 2 s and answers, no loader asks the store for the figures.
     #[test]
-    fn a_gateway_that_is_heard_in_time_keeps_loaders_off_the_store(
-        from in 0_u64..2_000,
+    fn a_gateway_within_2_s_prevents_reads_of_the_store(
+        reachable_from in 0_u64..2_000,
         count in 1_usize..6,
         zones in 1_usize..6,
         answer_millis in 0_u64..3_000,
     ) {
-        let near = gateways(count);
+        let zone_gateways = gateways(count);
         for mut asking in site(zones, 8, 10) {
             let mut knowledge = Knowledge::Nothing;
             let mut now = 0;
             while now < 20_000 {
-                let known = if now >= from { &near[..] } else { &[] };
-                match asking.next(&heard(known, knowledge), at(now)) {
+                let reachable = if now >= reachable_from { &zone_gateways[..] } else { &[] };
+                match asking.next(&heard(reachable, knowledge), at(now)) {
                     Step::Gateway(_) => {
                         now += answer_millis;
                         knowledge = Knowledge::Enough;
                         asking.note_answer(Source::Gateway);
                     }
-                    Step::Store => prop_assert!(false, "asked the store at {}", now),
+                    Step::Store => prop_assert!(false, "read the store at {}", now),
                     Step::Weights => prop_assert!(count < MANY_GATEWAYS),
                     Step::Wait(_) => {}
                 }
@@ -208,10 +211,8 @@
         }
     }
 
-    /// Whatever is heard and whoever fails: a loader that lacks the figures asks somebody again and
-    /// again, and the store among them.
     #[test]
-    fn nobody_waits_for_ever(
+    fn no_loader_stops_polling(
         number in 0_usize..250,
         zones in 1_usize..6,
         phases in proptest::collection::vec((0_usize..5, 0_u64..8_000), 0..12),
@@ -222,43 +223,43 @@
         let mut now = 0;
         let mut draws = draws.into_iter().cycle();
         let mut run = |until: u64, count: usize, now: &mut u64| {
-            let near = gateways(count);
-            let (mut longest, mut last, mut store_calls) = (0, *now, 0);
+            let zone_gateways = gateways(count);
+            let (mut longest_gap_millis, mut last_poll, mut store_reads) = (0, *now, 0);
             while *now < until {
-                let source = match asking.next(&heard(&near, Knowledge::Nothing), at(*now)) {
+                let source = match asking.next(&heard(&zone_gateways, Knowledge::Nothing), at(*now)) {
                     Step::Gateway(_) => Some(Source::Gateway),
                     Step::Store => Some(Source::Store),
                     Step::Weights => Some(Source::Weights),
                     Step::Wait(until) => {
-                        assert!(until > at(*now), "a wait that is over");
+                        assert!(until > at(*now), "a wait that ends in the past");
                         None
                     }
                 };
                 if let Some(source) = source {
-                    store_calls += usize::from(source == Source::Store);
-                    longest = longest.max(*now - last);
-                    last = *now;
+                    store_reads += usize::from(source == Source::Store);
+                    longest_gap_millis = longest_gap_millis.max(*now - last_poll);
+                    last_poll = *now;
                     let draw = draws.next().expect("a cycle");
                     asking.note_failure(source, at(*now), draw);
                 }
                 *now += STEP_MILLIS;
             }
-            (longest.max(*now - last), store_calls)
+            (longest_gap_millis.max(*now - last_poll), store_reads)
         };
         for (count, millis) in phases {
             let until = now + millis;
             run(until, count, &mut now);
         }
-        // The end of a pause and the wait without gateways may follow each other.
-        let quiet = 2_000 + 2_000 * zones as u64;
-        let (longest, store_calls) = run(now + 200_000, count, &mut now);
-        prop_assert!(longest <= MOST_PAUSE_MILLIS + quiet + STEP_MILLIS, "{} ms", longest);
-        prop_assert!(store_calls > 0);
+        // The end of a backoff and the delay without gateways may follow each other.
+        let store_delay_millis = 2_000 + 2_000 * zones as u64;
+        let (longest_gap_millis, store_reads) = run(now + 200_000, count, &mut now);
+        prop_assert!(longest_gap_millis <= MAX_BACKOFF_MILLIS + store_delay_millis + STEP_MILLIS, "{} ms", longest_gap_millis);
+        prop_assert!(store_reads > 0);
     }
 }
 
 #[test]
-fn a_loader_that_starts_asks_seeds_at_once_and_the_store_no_sooner_than_without_them() {
+fn seeds_are_polled_at_once_without_an_earlier_read_of_the_store() {
     let own = "10.0.0.9:7700".parse().expect("an address");
     let seeds = ["10.0.0.1:7700", "10.0.0.2:7700"].map(|seed| seed.parse().expect("an address"));
     let start = Instant::from_millis(60_000);
@@ -269,13 +270,13 @@
         near_count: 0,
         knowledge: Knowledge::Nothing,
     };
-    let mut asked = std::collections::BTreeSet::new();
+    let mut polled = std::collections::BTreeSet::new();
     let mut store_at = None;
     for millis in (0..20_000).step_by(10) {
         let now = start.after_millis(millis);
         match asking.next(&heard, now) {
             Step::Gateway(seed) => {
-                asked.insert(seed);
+                polled.insert(seed);
                 asking.note_failure(Source::Gateway, now, 300);
             }
             Step::Store => {
@@ -286,8 +287,8 @@
             Step::Wait(_) => {}
         }
     }
-    assert_eq!(asked.len(), seeds.len());
-    let store_at = store_at.expect("seeds that are down do not keep it from the store");
+    assert_eq!(polled.len(), seeds.len());
+    let store_at = store_at.expect("unreachable seeds do not prevent a read of the store");
     assert!((2_000..9_000).contains(&store_at), "{store_at}");
     let mut asking = Asking::new(own, 3, start);
     assert!(matches!(asking.next(&heard, start), Step::Gateway(_)));
--- a/crates/gingerpier_serving/tests/naming.rs
+++ b/crates/gingerpier_serving/tests/naming.rs
@@ -1,5 +1,5 @@
-//! The bound of named weights counts from no later than the store's acknowledgement, however late
-//! processes hear of them, as far back as that counts.
+//! Guards against a rollout bound that counts from after the release, however late a process
+//! discovers it.
 
 use {
     gingerpier_base::Instant,
@@ -11,70 +11,72 @@
     std::ops::Range,
 };
 
-/// The bound, in milliseconds.
-const WITHIN: u64 = 8_000;
+/// Rollout bound in milliseconds.
+const BOUND_MILLIS: u64 = 8_000;
 
-/// Milliseconds that the bound counts back from hearing, at most.
-const MOST_BACK: u64 = 2_000;
+/// Maximum milliseconds that the bound counts back from the discovery.
+const MAX_BACKDATE_MILLIS: u64 = 2_000;
 
-/// Version that is named.
-const NAMED: Version = Version(2);
+/// Released version.
+const RELEASED: Version = Version(2);
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
-/// A call, or a question: pauses and ways in milliseconds.
+/// A request to the store or a peer, as delays in milliseconds.
 #[derive(Debug, Clone, Copy)]
-struct Exchange {
+struct RequestDelays {
     pause: u64,
-    way_there: u64,
-    held: u64,
-    way_back: u64,
+    request_delay: u64,
+    hold: u64,
+    response_delay: u64,
 }
 
-/// Ways are short, as a rule, and long now and then, as over a link that is full.
-fn way() -> impl Strategy<Value = u64> {
+/// Network delays are mostly short, and sometimes as long as over a congested link.
+fn network_delay() -> impl Strategy<Value = u64> {
     prop_oneof![3 => 0..30_u64, 1 => 0..2_500_u64]
 }
 
-fn exchange(pause: Range<u64>, held: Range<u64>) -> impl Strategy<Value = Exchange> {
-    (pause, way(), held, way()).prop_map(|(pause, way_there, held, way_back)| Exchange {
-        pause,
-        way_there,
-        held,
-        way_back,
-    })
+fn request_delays(pause: Range<u64>, hold: Range<u64>) -> impl Strategy<Value = RequestDelays> {
+    (pause, network_delay(), hold, network_delay()).prop_map(
+        |(pause, request_delay, hold, response_delay)| RequestDelays {
+            pause,
+            request_delay,
+            hold,
+            response_delay,
+        },
+    )
 }
 
-/// One exchange at its times, on the clock of the store.
+/// Times of one request on the store's clock.
 #[derive(Debug, Clone, Copy)]
-struct Times {
+struct RequestTimes {
     sent: u64,
-    came: u64,
-    answered: u64,
-    read: u64,
+    received: u64,
+    responded: u64,
+    completed: u64,
 }
 
-/// Exchanges one after the other from `start` on.
-fn one_by_one(start: u64, exchanges: &[Exchange]) -> Vec<Times> {
+/// Places the requests one after the other from `start` on.
+fn schedule(start: u64, requests: &[RequestDelays]) -> Vec<RequestTimes> {
     let mut end = start;
-    let next = |one: &Exchange| {
+    let next = |one: &RequestDelays| {
         let sent = end + one.pause;
-        let came = sent + one.way_there;
-        let answered = came + one.held;
-        end = answered + one.way_back;
-        Times {
+        let received = sent + one.request_delay;
+        let responded = received + one.hold;
+        end = responded + one.response_delay;
+        RequestTimes {
             sent,
-            came,
-            answered,
-            read: end,
+            received,
+            responded,
+            completed: end,
         }
     };
-    exchanges.iter().map(next).collect()
+    requests.iter().map(next).collect()
 }
 
-/// What a process knows, from `since` on, by a clock that is `ahead` of the store's.
+/// State of a process as of `since`; its clock is `ahead` of the store's.
 #[derive(Debug, Clone, Default)]
 struct Process {
     since: u64,
@@ -84,11 +86,11 @@
 }
 
 impl Process {
-    fn hear(&mut self, times: Times) {
-        self.since = times.read;
-        let now = at(times.read + self.ahead);
+    fn discover(&mut self, times: RequestTimes) {
+        self.since = times.completed;
+        let now = at(times.completed + self.ahead);
         self.namings
-            .note(NAMED, OWN, self.fresh.earliest(WITHIN, now), now);
+            .note(RELEASED, OWN, self.fresh.earliest(BOUND_MILLIS, now), now);
     }
 
     fn naming(&self) -> Option<Naming> {
@@ -96,110 +98,120 @@
     }
 }
 
-/// States of a process that asks the store, which acknowledges the naming at `named`.
-fn watch(calls: &[Times], named: u64) -> Vec<Process> {
+/// Returns the states of a process that polls the store, which acknowledges the release at `released_at`.
+fn poll_store(store_requests: &[RequestTimes], released_at: u64) -> Vec<Process> {
     let mut process = Process::default();
-    let step = |times: &Times| {
-        if times.answered >= named {
-            process.hear(*times);
+    let step = |times: &RequestTimes| {
+        if times.responded >= released_at {
+            process.discover(*times);
         }
-        process.since = times.read;
+        process.since = times.completed;
         process.fresh.note_answer(at(times.sent));
         process.clone()
     };
-    calls.iter().map(step).collect()
+    store_requests.iter().map(step).collect()
 }
 
-/// States of a process that asks another one, which went through `watcher`.
-fn follow(questions: &[Times], watcher: &[Process], ahead: u64) -> Vec<Process> {
+/// Returns the states of a process that polls a peer with the states `watcher`.
+fn poll_peer(peer_requests: &[RequestTimes], watcher: &[Process], ahead: u64) -> Vec<Process> {
     let mut process = Process {
         ahead,
         ..Process::default()
     };
-    let step = |times: &Times| {
-        let mut passed = watcher.iter().rev();
-        if let Some(source) = passed.find(|state| state.since <= times.answered) {
+    let step = |times: &RequestTimes| {
+        let mut earlier = watcher.iter().rev();
+        if let Some(source) = earlier.find(|state| state.since <= times.responded) {
             if source.naming().is_some() {
-                process.hear(*times);
+                process.discover(*times);
             }
-            if let Some(age_millis) = source.fresh.age(at(times.answered + source.ahead)) {
+            if let Some(age_millis) = source.fresh.age(at(times.responded + source.ahead)) {
                 let told = Told {
-                    held_millis: times.answered - times.came,
+                    held_millis: times.responded - times.received,
                     age_millis,
                 };
-                let now = at(times.read + ahead);
+                let now = at(times.completed + ahead);
                 process.fresh.note_told(at(times.sent + ahead), told, now);
             }
         }
-        process.since = times.read;
+        process.since = times.completed;
         process.clone()
     };
-    questions.iter().map(step).collect()
+    peer_requests.iter().map(step).collect()
 }
 
-/// Checks what the `states` of a process say of weights that were named at `named`.
-fn check(states: &[Process], named: u64) -> Result<(), TestCaseError> {
-    let known = states
+/// Checks the release times in the `states` of a process for a release at `released_at`.
+fn check_release_times(states: &[Process], released_at: u64) -> Result<(), TestCaseError> {
+    let discovered = states
         .iter()
         .filter_map(|state| Some((state, state.naming()?)));
     let mut first = None;
-    for (state, naming) in known {
+    for (state, naming) in discovered {
         let first = *first.get_or_insert(naming);
-        prop_assert_eq!(naming, first, "it neither goes back nor forward");
-        let (begins, heard) = (naming.at.as_millis(), naming.heard.as_millis());
-        let farthest = heard - MOST_BACK;
-        prop_assert!(begins >= farthest, "engines keep time for their turns");
-        let latest = farthest.max(named + state.ahead);
-        prop_assert!(begins <= latest, "{begins} is later than {latest}");
+        prop_assert_eq!(
+            naming,
+            first,
+            "the release time of a process does not change"
+        );
+        let (release_millis, heard) = (naming.at.as_millis(), naming.heard.as_millis());
+        let earliest_counted = heard - MAX_BACKDATE_MILLIS;
+        prop_assert!(
+            release_millis >= earliest_counted,
+            "time is left for staggered updates"
+        );
+        let latest = earliest_counted.max(released_at + state.ahead);
+        prop_assert!(
+            release_millis <= latest,
+            "{release_millis} is later than {latest}"
+        );
     }
     Ok(())
 }
 
 proptest! {
     #[test]
-    fn the_bound_counts_from_no_later_than_the_acknowledgement(
-        calls in prop::collection::vec(exchange(0..600, 0..600), 1..12),
-        questions in prop::collection::vec(exchange(0..100, 0..400), 1..24),
-        hops in prop::collection::vec(exchange(0..100, 0..400), 1..24),
-        named in 60_000..68_000_u64,
+    fn the_bound_never_counts_from_after_the_release(
+        store_requests in prop::collection::vec(request_delays(0..600, 0..600), 1..12),
+        peer_requests in prop::collection::vec(request_delays(0..100, 0..400), 1..24),
+        second_hop_requests in prop::collection::vec(request_delays(0..100, 0..400), 1..24),
+        released_at in 60_000..68_000_u64,
     ) {
-        let watcher = watch(&one_by_one(60_000, &calls), named);
-        let follower = follow(&one_by_one(60_000, &questions), &watcher, 500_000);
-        let second = follow(&one_by_one(60_000, &hops), &follower, 7_000);
-        check(&watcher, named)?;
-        check(&follower, named)?;
-        check(&second, named)?;
+        let watcher = poll_store(&schedule(60_000, &store_requests), released_at);
+        let follower = poll_peer(&schedule(60_000, &peer_requests), &watcher, 500_000);
+        let second = poll_peer(&schedule(60_000, &second_hop_requests), &follower, 7_000);
+        check_release_times(&watcher, released_at)?;
+        check_release_times(&follower, released_at)?;
+        check_release_times(&second, released_at)?;
     }
 
     #[test]
-    fn a_loader_counts_from_the_word_that_was_least_on_its_way(
+    fn the_least_delayed_report_sets_the_release_time(
         ages in prop::collection::vec((0..2_000_u64, 0..3_000_u64), 1..20),
     ) {
-        // Gateways count from moments up to 2 s before the one at which all of them tell it.
+        // Gateways report lower bounds up to 2 s before a common time.
         let told = 100_000;
         let mut namings = Namings::default();
-        let mut last = None;
-        for (index, (age, way)) in ages.iter().enumerate() {
+        let mut last_at = None;
+        for (index, (age, network_delay)) in ages.iter().enumerate() {
             let repeated = 500 * index as u64;
-            let now = told + repeated + way;
+            let now = told + repeated + network_delay;
             let earliest = now - (age + repeated);
-            let is_new = namings.note(NAMED, OWN, at(earliest), at(now));
+            let is_new = namings.note(RELEASED, OWN, at(earliest), at(now));
             prop_assert_eq!(is_new, index == 0);
-            let begins = namings.newest().expect("known").at;
-            prop_assert!(last.is_none_or(|last| begins <= last), "only ever earlier");
-            last = Some(begins);
+            let release_millis = namings.newest().expect("known").at;
+            prop_assert!(last_at.is_none_or(|last_at| release_millis <= last_at), "the release time only moves back");
+            last_at = Some(release_millis);
         }
-        let least = ages.iter().map(|(age, way)| told - age + way).min();
-        prop_assert_eq!(last.map(Instant::as_millis), least);
+        let least_delayed = ages.iter().map(|(age, network_delay)| told - age + network_delay).min();
+        prop_assert_eq!(last_at.map(Instant::as_millis), least_delayed);
     }
 
     #[test]
-    fn versions_rise_and_their_moments_only_go_back(
-        words in prop::collection::vec((1..6_u64, 0..3_000_u64, 0..3_000_u64), 1..40),
+    fn versions_only_rise_and_release_times_only_move_back(
+        reports in prop::collection::vec((1..6_u64, 0..3_000_u64, 0..3_000_u64), 1..40),
     ) {
         let mut namings = Namings::default();
         let mut now = 60_000;
-        for (version, pause, age) in words {
+        for (version, pause, age) in reports {
             now += pause;
             let before: Vec<Naming> = namings.iter().copied().collect();
             let newest = before.last().map(|naming| naming.version);
@@ -217,17 +229,21 @@
 }
 
 #[test]
-fn an_answer_proves_what_held_when_it_was_asked_for() {
+fn a_response_counts_from_the_time_of_its_request() {
     let mut fresh = Freshness::default();
     assert_eq!(fresh.age(at(70_000)), None);
     fresh.note_answer(at(70_000));
-    assert_eq!(fresh.earliest(WITHIN, at(71_500)), at(70_000));
+    assert_eq!(fresh.earliest(BOUND_MILLIS, at(71_500)), at(70_000));
     fresh.note_answer(at(69_000));
-    assert_eq!(fresh.age(at(71_500)), Some(1_500), "it never goes back");
+    assert_eq!(
+        fresh.age(at(71_500)),
+        Some(1_500),
+        "freshness never goes back"
+    );
 }
 
 #[test]
-fn another_process_answers_no_earlier_than_it_kept_the_question() {
+fn a_peer_response_counts_from_no_earlier_than_its_hold_time() {
     let told = Told {
         held_millis: 400,
         age_millis: 50,
@@ -237,53 +253,59 @@
     assert_eq!(fresh.age(at(72_000)), Some(1_650));
     let mut fresh = Freshness::default();
     fresh.note_told(at(70_000), told, at(70_300));
-    assert_eq!(fresh.age(at(70_300)), Some(50), "never ahead of the answer");
+    assert_eq!(
+        fresh.age(at(70_300)),
+        Some(50),
+        "never later than the response"
+    );
 }
 
 #[test]
-fn a_long_silence_counts_back_2_s_and_no_more_than_a_third_of_the_bound() {
+fn backdating_is_limited_to_2_s_and_a_third_of_the_bound() {
     let mut fresh = Freshness::default();
     assert_eq!(
-        fresh.earliest(WITHIN, at(70_000)),
+        fresh.earliest(BOUND_MILLIS, at(70_000)),
         at(68_000),
-        "never heard"
+        "never synchronized"
     );
     fresh.note_answer(at(60_000));
-    assert_eq!(fresh.earliest(WITHIN, at(70_000)), at(68_000));
+    assert_eq!(fresh.earliest(BOUND_MILLIS, at(70_000)), at(68_000));
     assert_eq!(fresh.earliest(3_000, at(70_000)), at(69_000));
 }
 
-/// When older weights come due at a process that runs since `running_since`, knows `fresh`, and hears of the
-/// naming at `heard`.
-fn due(running_since: Instant, fresh: Freshness, heard: Instant) -> Instant {
+/// Returns when older weights expire at a process that runs since `running_since` and discovers the
+/// release at `heard`.
+fn expiry(running_since: Instant, fresh: Freshness, heard: Instant) -> Instant {
     let mut namings = Namings::default();
-    assert!(namings.note(NAMED, OWN, fresh.earliest(WITHIN, heard), heard));
-    namings.note_break(fresh.due_after_break(running_since, WITHIN));
-    namings.newest().expect("known").due_at(WITHIN)
+    assert!(namings.note(RELEASED, OWN, fresh.earliest(BOUND_MILLIS, heard), heard));
+    namings.note_break(fresh.due_after_break(running_since, BOUND_MILLIS));
+    namings.newest().expect("known").due_at(BOUND_MILLIS)
 }
 
 #[test]
-fn weights_named_before_a_process_started_come_due_soon_after_its_start_however_late_its_first_copy_is()
- {
+fn weights_released_before_a_start_expire_soon_after_it_however_late_the_first_copy() {
     let started = at(60_000);
-    for copy_after in [50, 900, 1_100, 2_500, 6_000] {
-        let first_copy = started.after_millis(copy_after);
+    for copy_after_millis in [50, 900, 1_100, 2_500, 6_000] {
+        let first_copy = started.after_millis(copy_after_millis);
         let mut fresh = Freshness::default();
-        let due_at = due(started, fresh, first_copy);
+        let due_at = expiry(started, fresh, first_copy);
         assert_eq!(
             due_at,
             started.after_millis(3_000),
-            "copy after {copy_after}"
+            "copy after {copy_after_millis}"
         );
-        // One that is named later has its time.
+        // A later release gets the full time.
         fresh.note_answer(first_copy);
         let later = first_copy.after_millis(1);
-        assert_eq!(due(started, fresh, later), first_copy.after_millis(6_800));
+        assert_eq!(
+            expiry(started, fresh, later),
+            first_copy.after_millis(6_800)
+        );
     }
 }
 
 #[test]
-fn what_a_neighbour_without_the_store_told_a_process_that_started_does_not_make_a_naming_recent() {
+fn a_stale_copy_of_a_peer_does_not_make_a_release_recent() {
     let started = at(100_000);
     let told = |age_millis| {
         let told = Told {
@@ -294,42 +316,46 @@
         fresh.note_told(at(100_200), told, at(100_300));
         fresh
     };
-    // The neighbour was cut off for 30 s, and the naming may be as old.
-    assert_eq!(due(started, told(30_000), at(102_000)), at(103_000));
-    // One with the store knows that the naming was made after 99.5 s.
-    assert_eq!(due(started, told(700), at(100_800)), at(106_300));
+    // The peer was isolated for 30 s, so the release may be as old.
+    assert_eq!(expiry(started, told(30_000), at(102_000)), at(103_000));
+    // A peer with a recent copy proves that the release is later than 99.5 s.
+    assert_eq!(expiry(started, told(700), at(100_800)), at(106_300));
 }
 
 #[test]
-fn a_process_that_stood_still_is_as_strict_as_one_that_starts_and_no_stricter_than_the_bound() {
-    let last = at(100_000);
+fn a_resumed_process_expires_weights_like_a_started_one_but_not_before_the_bound() {
+    let last_at = at(100_000);
     let mut fresh = Freshness::default();
-    fresh.note_answer(last);
-    for (stood_still, due_after) in [
+    fresh.note_answer(last_at);
+    for (suspended_millis, expected_after) in [
         (2_000, 6_800),
         (3_700, 6_800),
         (4_000, 7_000),
         (9_000, 12_000),
     ] {
-        let back = last.after_millis(stood_still);
-        let due_at = due(back, fresh, back.after_millis(100));
-        assert_eq!(due_at, last.after_millis(due_after), "{stood_still}");
+        let resumed_at = last_at.after_millis(suspended_millis);
+        let due_at = expiry(resumed_at, fresh, resumed_at.after_millis(100));
+        assert_eq!(
+            due_at,
+            last_at.after_millis(expected_after),
+            "{suspended_millis}"
+        );
     }
 }
 
 #[test]
-fn of_several_that_tell_of_a_naming_the_one_that_knows_best_counts() {
+fn the_latest_lower_bound_of_all_sources_counts() {
     let mut namings = Namings::default();
     let (one, other) = (Teller(1), Teller(2));
-    // The one lacked the store for long, and knows little of when it can have happened.
-    assert!(namings.note(NAMED, one, at(8_300), at(10_000)));
+    // This source was isolated, so its lower bound is loose.
+    assert!(namings.note(RELEASED, one, at(8_300), at(10_000)));
     assert_eq!(namings.newest().expect("it").at, at(8_300));
-    assert!(!namings.note(NAMED, other, at(9_900), at(10_050)));
+    assert!(!namings.note(RELEASED, other, at(9_900), at(10_050)));
     assert_eq!(namings.newest().expect("it").at, at(9_900));
-    // The other's first word had been long on its way.
-    assert!(!namings.note(NAMED, other, at(9_600), at(10_500)));
+    // The first report of the other source was delayed.
+    assert!(!namings.note(RELEASED, other, at(9_600), at(10_500)));
     assert_eq!(namings.newest().expect("it").at, at(9_600));
-    // No word makes it later than it was heard.
-    assert!(!namings.note(NAMED, Teller(3), at(10_700), at(10_700)));
+    // The release time is never later than the discovery.
+    assert!(!namings.note(RELEASED, Teller(3), at(10_700), at(10_700)));
     assert_eq!(namings.newest().expect("it").at, at(10_000));
 }
--- a/crates/gingerpier_serving/tests/outage.rs
+++ b/crates/gingerpier_serving/tests/outage.rs
@@ -1,4 +1,5 @@
-//! Engines whose entries are missing after the store was away, and those that have left.
+//! Guards against engines that are dropped because their entries expired during an outage of the
+//! store, and against removed engines that are kept.
 
 use {
     gingerpier_base::Instant,
@@ -27,8 +28,9 @@
     }
 }
 
-/// A store that spoke at 1 s, failed a call at `failed` and answered at `answered`, at revision 20.
-fn returned(failed: u64, answered: u64) -> Outage {
+/// Returns the state after a response at 1 s, a failed request at `failed` and a response with
+/// revision 20 at `answered`.
+fn recovered(failed: u64, answered: u64) -> Outage {
     let mut outage = Outage::default();
     outage.note_answer(Revision(10), at(1_000));
     outage.note_failure(at(failed));
@@ -37,33 +39,37 @@
 }
 
 #[test]
-fn what_went_before_the_return_may_come_back_and_what_goes_later_has_left() {
-    let outage = returned(8_800, 9_000);
+fn deletions_up_to_the_recovery_are_excused_and_later_ones_are_not() {
+    let outage = recovered(8_800, 9_000);
     let lapses_at = |absence| outage.lapses_at(absence, at(9_500));
     assert_eq!(
         lapses_at(Absence::Event(Revision(20))),
         Some(at(11_000)),
-        "it went while the store was away"
+        "deleted during the outage"
+    );
+    assert_eq!(
+        lapses_at(Absence::Event(Revision(21))),
+        None,
+        "removed after the recovery"
     );
-    assert_eq!(lapses_at(Absence::Event(Revision(21))), None, "it has left");
     assert_eq!(
         lapses_at(Absence::Listed),
         Some(at(11_000)),
-        "a list tells no revision"
+        "a list has no revisions of missing keys"
     );
 }
 
 #[test]
-fn what_is_still_missing_two_seconds_after_the_return_is_gone() {
-    let outage = returned(8_800, 9_000);
+fn entries_still_missing_two_seconds_after_the_recovery_are_removed() {
+    let outage = recovered(8_800, 9_000);
     assert_eq!(outage.lapses_at(Absence::Listed, at(11_000)), None);
-    let lapsed = Absence::Event(Revision(15));
-    assert_eq!(outage.lapses_at(lapsed, at(11_000)), None);
+    let expired = Absence::Event(Revision(15));
+    assert_eq!(outage.lapses_at(expired, at(11_000)), None);
 }
 
 #[test]
-fn a_late_first_answer_does_not_keep_engines_for_longer_than_a_failure_excuses() {
-    let outage = returned(8_000, 9_900);
+fn a_late_first_response_does_not_extend_the_grace_period() {
+    let outage = recovered(8_000, 9_900);
     assert_eq!(
         outage.lapses_at(Absence::Listed, at(9_900)),
         Some(at(11_000))
@@ -71,8 +77,8 @@
 }
 
 #[test]
-fn a_call_that_fails_while_the_store_speaks_excuses_nothing() {
-    let outage = returned(1_400, 1_900);
+fn a_failed_request_without_an_outage_excuses_nothing() {
+    let outage = recovered(1_400, 1_900);
     assert_eq!(
         outage.lapses_at(Absence::Event(Revision(20)), at(1_950)),
         None
@@ -85,12 +91,12 @@
     assert_eq!(
         outage.lapses_at(Absence::Listed, at(9_100)),
         None,
-        "another gateway heard the store, this one was cut off"
+        "the store responded to a peer, so only this gateway was isolated"
     );
 }
 
 #[test]
-fn a_store_that_says_nothing_new_for_long_was_not_away() {
+fn a_quiet_store_is_not_an_outage() {
     let mut outage = Outage::default();
     outage.note_answer(Revision(10), at(1_000));
     outage.note_answer(Revision(20), at(9_000));
@@ -98,32 +104,32 @@
 }
 
 #[test]
-fn a_return_that_another_gateway_tells_of_counts_and_the_longer_one_does() {
-    let told = |revision, until| Return {
+fn recoveries_reported_by_peers_count_and_the_latest_wins() {
+    let reported = |revision, until| Return {
         revision: Revision(revision),
         until: at(until),
     };
     let mut outage = Outage::default();
     outage.note_word(at(1_000));
-    outage.note_told(told(20, 11_000), at(9_000));
-    outage.note_told(told(12, 10_000), at(9_000));
-    let lapsed = Absence::Event(Revision(20));
-    assert_eq!(outage.lapses_at(lapsed, at(9_500)), Some(at(11_000)));
-    assert_eq!(outage.last_return(at(9_500)), Some(told(20, 11_000)));
+    outage.note_told(reported(20, 11_000), at(9_000));
+    outage.note_told(reported(12, 10_000), at(9_000));
+    let expired = Absence::Event(Revision(20));
+    assert_eq!(outage.lapses_at(expired, at(9_500)), Some(at(11_000)));
+    assert_eq!(outage.last_return(at(9_500)), Some(reported(20, 11_000)));
     assert_eq!(outage.last_return(at(11_000)), None);
 
     let mut outage = Outage::default();
     outage.note_word(at(8_400));
-    outage.note_told(told(20, 11_000), at(9_000));
+    outage.note_told(reported(20, 11_000), at(9_000));
     assert_eq!(
-        outage.lapses_at(lapsed, at(9_500)),
+        outage.lapses_at(expired, at(9_500)),
         None,
-        "the other one was cut off alone"
+        "only the peer was isolated"
     );
 }
 
 #[test]
-fn a_lapsed_engine_takes_work_until_its_time_is_over_or_it_is_back() {
+fn a_missing_engine_serves_until_its_grace_period_ends() {
     let mut fleet = Fleet::default();
     let key = fleet.list(record("a", State::Ready), Revision(1));
     fleet.lapse("a", at(11_000));
@@ -131,37 +137,40 @@
     assert_eq!(fleet.expire(at(10_999)), []);
     assert!(
         !fleet.engine(key).is_open(at(11_000)),
-        "it is still missing"
+        "the grace period is over"
     );
     assert_eq!(fleet.expire(at(11_000)), [key]);
     assert_eq!(fleet.of_service("s").count(), 0);
-    assert_eq!(fleet.expire(at(12_000)), [], "once");
+    assert_eq!(fleet.expire(at(12_000)), [], "reported once");
 
     fleet.list(record("a", State::Ready), Revision(30));
     assert!(
         fleet.engine(key).is_open(at(12_000)),
-        "it is back after all"
+        "listed again after the grace period"
     );
     fleet.lapse("a", at(20_000));
     fleet.list(record("a", State::Ready), Revision(40));
-    assert!(fleet.engine(key).is_open(at(20_000)), "it was back in time");
+    assert!(
+        fleet.engine(key).is_open(at(20_000)),
+        "listed again within the grace period"
+    );
     assert_eq!(fleet.expire(at(20_000)), []);
 }
 
 #[test]
-fn an_engine_that_left_is_not_kept_because_it_lapsed_before() {
+fn a_removed_engine_is_not_kept_by_an_earlier_grace_period() {
     let mut fleet = Fleet::default();
     let key = fleet.list(record("a", State::Ready), Revision(1));
     fleet.lapse("a", at(11_000));
     fleet.unlist("a");
     assert!(!fleet.engine(key).is_open(at(10_000)));
-    // A second word of the same absence does not bring it back.
+    // Repeating the report doesn't restore it.
     fleet.lapse("a", at(11_000));
     assert!(!fleet.engine(key).is_open(at(10_000)));
 }
 
 #[test]
-fn a_leaving_engine_that_lapses_stays_leaving() {
+fn a_draining_engine_that_goes_missing_stays_draining() {
     let mut fleet = Fleet::default();
     let key = fleet.list(record("a", State::Draining), Revision(1));
     fleet.lapse("a", at(11_000));
@@ -171,7 +180,7 @@
 }
 
 #[test]
-fn a_lapsed_engine_whose_address_was_taken_takes_nothing() {
+fn a_missing_engine_whose_address_was_reused_gets_no_requests() {
     let mut fleet = Fleet::default();
     let old = fleet.list(record("a", State::Ready), Revision(1));
     fleet.lapse("a", at(11_000));
@@ -186,14 +195,14 @@
     assert!(fleet.engine(new).is_open(at(11_000)));
 }
 
-/// Lapsed engines were refused 796 ms after the store's return: the pause behind a failed call took up to 2 s, and they were
-/// kept for 2.5 s from that call on, so that as little as 0.5 s was left of the two seconds that they have.
+/// Guards against a grace period that counts from the failed request and is used up when the
+/// recovery is noticed.
 #[test]
-fn engines_have_two_seconds_from_the_return_however_late_that_was_noticed() {
+fn engines_have_two_seconds_after_the_recovery_however_late_it_is_noticed() {
     for pause in (0..=MOST_PAUSE_MILLIS).step_by(50) {
         let noticed = 9_000 + pause;
-        let until = returned(9_000, noticed).lapses_at(Absence::Listed, at(noticed));
-        let until = until.expect("they may come back");
+        let until = recovered(9_000, noticed).lapses_at(Absence::Listed, at(noticed));
+        let until = until.expect("missing entries are excused");
         assert_eq!(until, at(noticed + 2_000), "pause {pause}");
     }
 }
--- a/crates/gingerpier_serving/tests/suspects/main.rs
+++ b/crates/gingerpier_serving/tests/suspects/main.rs
@@ -1,10 +1,13 @@
-//! Whatever is lost, cut or started again, a request that ends engines ends few of them, and innocent ones are never held back.
+//! Guards against requests that keep crashing engines, and against innocent requests that are held
+//! back, with lost messages, network partitions and restarts.
 //!
-//! A model without I/O of gateways, engines and callers in which the truth is known. What decides is the code under test; the
-//! model repeats what the processes do with it: an end is told to all at once and twice again, a digest goes to another gateway
-//! each second, and a request against which something is known runs as a trial.
+//! Simulates gateways, engines and callers with known causes of crashes. The code under test
+//! decides; the simulation handles messages as the processes do: a crash is broadcast at once and
+//! twice again, a digest is compared with another gateway each second, and a request with a case
+//! runs as a trial.
 //!
-//! Faults are planted, and have to be found: evidence that is not told to other zones, and innocents that nothing clears.
+//! With each of two rules disabled, the simulation must fail: replication between zones, and
+//! refutation by complete responses.
 
 mod model;
 
@@ -16,18 +19,19 @@
         suspects::{End, Incarnation, Noted, Standing, Suspects},
         trials::{SETTLE_MILLIS, TRIAL_MILLIS, Trial, Trials},
     },
-    model::{Judge, Outcome, Site, Without, play},
+    model::{Disabled, Outcome, Policy, Scenario, simulate},
     std::net::SocketAddr,
 };
 
-/// Seeds that are played of each kind of day.
+/// Seeds per scenario.
 const SEEDS: u64 = 500;
 
-/// Days of the table.
-const DAYS: usize = 1_000;
+/// Runs in the table.
+const TABLE_RUNS: usize = 1_000;
 
-/// Engines that a guilty request may end on most days: three, and what was under way.
-const USUAL_ENDED: usize = 5;
+/// Maximum median of engines that a crashing request crashes: those that hold it back, and one in
+/// flight.
+const MAX_MEDIAN_CRASHES: usize = 5;
 
 fn end(mark: Mark, engine: u64, millis: u64) -> End {
     End {
@@ -39,7 +43,7 @@
     }
 }
 
-/// Judges once all word has had time to come.
+/// Evaluates after all reports have settled.
 fn judge(suspects: &mut Suspects) -> Vec<Mark> {
     suspects.judge(Instant::from_millis(1_000_000))
 }
@@ -48,59 +52,60 @@
     Mark([number; 16])
 }
 
-fn days(without: Without, judge: Judge) -> impl Iterator<Item = Outcome> {
+fn simulate_all(disabled: Disabled, policy: Policy) -> impl Iterator<Item = Outcome> {
     (0..SEEDS).flat_map(move |seed| {
-        [Site::Waves, Site::Calm].map(|site| play(seed, site, without, judge))
+        [Scenario::CommonFailures, Scenario::Calm]
+            .map(|scenario| simulate(seed, scenario, disabled, policy))
     })
 }
 
 #[test]
-fn a_guilty_request_ends_few_engines_and_no_innocent_one_is_held_back() {
+fn a_crashing_request_crashes_few_engines_and_no_innocent_one_is_held_back() {
     let mut ended: Vec<usize> = Vec::new();
-    for outcome in days(Without::Nothing, Judge::Blame) {
+    for outcome in simulate_all(Disabled::Nothing, Policy::Attribution) {
         assert!(outcome.late_sends <= 3, "{outcome:?}");
         assert_eq!(outcome.held_innocents, 0, "{outcome:?}");
         ended.extend(outcome.ended);
     }
     ended.sort_unstable();
     let median = ended[ended.len() / 2];
-    assert!(median <= USUAL_ENDED, "median {median}");
+    assert!(median <= MAX_MEDIAN_CRASHES, "median {median}");
 }
 
 #[test]
-fn evidence_that_is_not_told_to_other_zones_is_found() {
-    let mut outcomes = days(Without::OtherZones, Judge::Blame);
+fn the_simulation_fails_without_replication_between_zones() {
+    let mut outcomes = simulate_all(Disabled::Replication, Policy::Attribution);
     assert!(outcomes.any(|outcome| outcome.late_sends > 3));
 }
 
 #[test]
-fn innocents_that_nothing_clears_are_found() {
-    let mut outcomes = days(Without::Clearing, Judge::Blame);
+fn the_simulation_fails_without_refutation_by_responses() {
+    let mut outcomes = simulate_all(Disabled::Refutation, Policy::Attribution);
     assert!(outcomes.any(|outcome| outcome.held_innocents > 0));
 }
 
-/// Prints what each way to judge does on the same days.
+/// Prints the results of each policy on the same seeds.
 #[test]
 #[ignore = "prints a table; run by hand"]
-fn ways_to_judge_side_by_side() {
-    for judge in [Judge::Blame, Judge::Ends, Judge::Likelihood] {
+fn compare_policies() {
+    for policy in [Policy::Attribution, Policy::CrashCount, Policy::Likelihood] {
         let mut ended = Vec::new();
-        let (mut held, mut late) = (0, 0);
-        for outcome in days(Without::Nothing, judge).take(DAYS) {
+        let (mut held, mut late_runs) = (0, 0);
+        for outcome in simulate_all(Disabled::Nothing, policy).take(TABLE_RUNS) {
             held += outcome.held_innocents;
-            late += usize::from(outcome.late_sends > 3);
+            late_runs += usize::from(outcome.late_sends > 3);
             ended.extend(outcome.ended);
         }
         ended.sort_unstable();
-        let (median, most) = (ended[ended.len() / 2], ended[ended.len() - 1]);
+        let (median, max_crashes) = (ended[ended.len() / 2], ended[ended.len() - 1]);
         println!(
-            "{judge:?}: held innocents {held}, days over the bound {late}, ended median {median}, most {most}"
+            "{policy:?}: held innocents {held}, runs over the bound {late_runs}, crashes median {median}, most {max_crashes}"
         );
     }
 }
 
 #[test]
-fn the_mark_of_a_request_is_the_same_when_it_comes_again_and_another_for_another_one() {
+fn fingerprints_are_equal_for_retries_only() {
     let subject = Subject {
         host: "h.example",
         target: b"/a/b",
@@ -129,7 +134,7 @@
             body: b"bodz",
             ..subject
         },
-        // What moves from one part to the next.
+        // Content moved to the neighbouring part.
         Subject {
             target: b"/a/bt",
             account: "",
@@ -142,13 +147,13 @@
 }
 
 #[test]
-fn four_engines_that_ended_one_by_one_hold_a_request_back() {
+fn four_separate_crashes_hold_a_request_back() {
     let mut suspects = Suspects::default();
     assert_eq!(suspects.note_end(end(mark(1), 1, 0), 12), Noted::News);
     assert_eq!(
         suspects.note_end(end(mark(1), 1, 10), 12),
         Noted::Known,
-        "told twice"
+        "reported twice"
     );
     assert_eq!(suspects.standing(mark(1)), Standing::Noted);
     suspects.note_end(end(mark(1), 2, 300), 12);
@@ -158,7 +163,7 @@
     assert_eq!(
         suspects.standing(mark(1)),
         Standing::Suspect,
-        "others may tell of another one"
+        "not evaluated yet"
     );
     assert_eq!(judge(&mut suspects), [mark(1)]);
     assert_eq!(suspects.standing(mark(1)), Standing::Held);
@@ -166,7 +171,7 @@
 }
 
 #[test]
-fn ends_that_go_on_coming_do_not_put_off_a_judgement() {
+fn continuous_crashes_do_not_postpone_the_evaluation() {
     let mut suspects = Suspects::default();
     let mut held = Vec::new();
     for millis in 0..200 {
@@ -183,20 +188,24 @@
 }
 
 #[test]
-fn engines_that_end_together_say_little_of_a_request_until_it_was_at_five() {
+fn a_common_failure_holds_a_request_back_only_from_five_crashes() {
     let mut suspects = Suspects::default();
     for engine in 0..4 {
         suspects.note_end(end(mark(1), engine, 1_000 + engine), 12);
     }
-    assert!(judge(&mut suspects).is_empty(), "a third of all engines");
+    assert!(
+        judge(&mut suspects).is_empty(),
+        "a common failure of a third of all engines"
+    );
     suspects.note_end(end(mark(1), 4, 1_004), 12);
     assert_eq!(judge(&mut suspects), [mark(1)]);
 }
 
 #[test]
-fn whatever_ran_beside_a_guilty_request_is_not_blamed_for_its_engines() {
+fn requests_beside_a_crashing_one_are_not_held_back() {
     let mut suspects = Suspects::default();
-    // The first one ends engines 1 to 4, the second one 5 to 8; the third ran at one of each and at two that ended later.
+    // Request 1 crashes engines 1 to 4, request 2 crashes 5 to 8; request 3 ran at one of each and
+    // at two later ones.
     for (request, engines) in [(1, 1..5), (2, 5..9)] {
         for engine in engines {
             suspects.note_end(end(mark(request), engine, engine * 300), 12);
@@ -214,11 +223,15 @@
 }
 
 #[test]
-fn a_whole_answer_refutes_what_is_known_until_newer_weights_run() {
+fn a_complete_response_refutes_crashes_up_to_its_version() {
     let mut suspects = Suspects::default();
     suspects.note_finished(mark(1), Version(1));
     let noted = suspects.note_end(end(mark(1), 1, 0), 12);
-    assert_eq!(noted, Noted::Refuted(Version(1)), "others should know");
+    assert_eq!(
+        noted,
+        Noted::Refuted(Version(1)),
+        "the reporter should be told"
+    );
     for engine in 2..6 {
         let end = End {
             version: Version(2),
@@ -226,13 +239,17 @@
         };
         suspects.note_end(end, 12);
     }
-    assert_eq!(judge(&mut suspects), [mark(1)], "newer weights end engines");
+    assert_eq!(
+        judge(&mut suspects),
+        [mark(1)],
+        "the response was from older weights"
+    );
     assert!(suspects.note_cleared(mark(1), Version(2)));
     assert_eq!(suspects.standing(mark(1)), Standing::Clear);
 }
 
 #[test]
-fn an_operators_word_lets_a_request_go_until_it_ends_four_engines_more() {
+fn a_dismissal_lasts_until_four_more_crashes() {
     let mut suspects = Suspects::default();
     for engine in 0..4 {
         suspects.note_end(end(mark(1), engine, engine * 300), 12);
@@ -243,7 +260,7 @@
         suspects.note_end(end(mark(1), engine, engine * 300), 12);
     }
     assert_eq!(judge(&mut suspects), [mark(1)]);
-    // The word may come before the ends that it is about.
+    // The dismissal may arrive before the crashes.
     let mut other = Suspects::default();
     for engine in pardoned {
         assert!(other.note_pardoned(mark(1), 1, engine));
@@ -256,7 +273,7 @@
 }
 
 #[test]
-fn who_floods_with_requests_pushes_out_only_its_own_and_none_that_is_held_back() {
+fn a_flooding_account_evicts_only_its_own_cases_and_none_held_back() {
     let mut suspects = Suspects::default();
     for engine in 0..4 {
         suspects.note_end(end(mark(1), engine, engine * 300), 12);
@@ -276,13 +293,13 @@
     assert_eq!(
         suspects.standing(mark(2)),
         Standing::Noted,
-        "another account's"
+        "a case of another account"
     );
     assert!(suspects.count() <= 1_024);
 }
 
 #[test]
-fn gateways_that_know_the_same_have_the_same_digest_in_whatever_order_they_learnt_it() {
+fn digests_are_equal_in_any_order_of_reports() {
     let ends: Vec<End> = (0..3)
         .map(|engine| end(mark(1), engine, engine * 300))
         .collect();
@@ -300,33 +317,33 @@
 }
 
 #[test]
-fn of_two_trials_of_one_moment_the_lower_one_goes_on() {
+fn the_lower_of_two_simultaneous_trials_continues() {
     let at = Instant::from_millis;
     let trial = |last, request, engine| Trial {
         by: SocketAddr::from(([10, 0, 0, last], 1)),
         mark: mark(request),
         engine: Some(Incarnation(engine)),
     };
-    let (low, high) = (trial(1, 1, 7), trial(2, 1, 8));
+    let (lower, higher) = (trial(1, 1, 7), trial(2, 1, 8));
     let mut trials = Trials::default();
-    trials.note_begun(high, at(0));
-    trials.note_begun(low, at(SETTLE_MILLIS - 1));
+    trials.note_begun(higher, at(0));
+    trials.note_begun(lower, at(SETTLE_MILLIS - 1));
     assert!(
-        trials.goes_on(&low, at(SETTLE_MILLIS - 1)),
-        "of one request"
+        trials.goes_on(&lower, at(SETTLE_MILLIS - 1)),
+        "same request"
     );
-    assert!(!trials.goes_on(&high, at(SETTLE_MILLIS - 1)));
-    trials.note_over(low.mark, low.by);
-    assert!(trials.goes_on(&high, at(SETTLE_MILLIS)));
+    assert!(!trials.goes_on(&higher, at(SETTLE_MILLIS - 1)));
+    trials.note_over(lower.mark, lower.by);
+    assert!(trials.goes_on(&higher, at(SETTLE_MILLIS)));
     let beside = trial(1, 2, 8);
     trials.note_begun(beside, at(SETTLE_MILLIS));
     assert!(
         !trials.goes_on(&beside, at(SETTLE_MILLIS)),
-        "one runs at that engine"
+        "the engine is reserved for another trial"
     );
     assert!(trials.is_on_trial(mark(1), at(30)));
     assert!(
         !trials.is_on_trial(mark(1), at(TRIAL_MILLIS)),
-        "its gateway may have died"
+        "the trial timed out"
     );
 }
--- a/crates/gingerpier_serving/tests/suspects/model.rs
+++ b/crates/gingerpier_serving/tests/suspects/model.rs
@@ -1,4 +1,4 @@
-//! Gateways, engines and callers in virtual time.
+//! Simulation of gateways, engines and callers in virtual time.
 
 use {
     gingerpier_base::{Instant, order},
@@ -20,104 +20,106 @@
 const ENGINES: usize = 12;
 const GATEWAYS: usize = 6;
 const ZONES: usize = 3;
-const LENGTH_MILLIS: u64 = 40_000;
-/// Milliseconds for which a gateway has to be well to be in touch.
-const CONTACT_MILLIS: u64 = 3_000;
+const RUN_MILLIS: u64 = 40_000;
+/// Milliseconds after a restart or partition until a gateway must know all cases.
+const CONVERGENCE_MILLIS: u64 = 3_000;
 /// Milliseconds between two innocent requests of all callers.
-const BETWEEN_MILLIS: u64 = 12;
+const REQUEST_INTERVAL_MILLIS: u64 = 12;
 const SLOTS: usize = 12;
-/// Milliseconds for which a request waits for another trial, or for an engine of its own.
-const PATIENCE_MILLIS: u64 = 60;
-/// Per cent of messages that are lost.
-const LOST: u64 = 5;
-/// Ways of an engine's end to a gateway, and of a message to another, in milliseconds at most.
-const WORD_MILLIS: u64 = 10;
-const REPEATS: [u64; 3] = [0, 100, 500];
-
-/// What strikes.
+/// Milliseconds for which a request waits for another trial to end, or for a free engine.
+const MAX_TRIAL_WAIT_MILLIS: u64 = 60;
+/// Percentage of lost messages.
+const LOST_PERCENT: u64 = 5;
+/// Maximum milliseconds until a gateway detects a crash, and of a message between gateways.
+const MAX_DELAY_MILLIS: u64 = 10;
+const REPEAT_DELAYS_MILLIS: [u64; 3] = [0, 100, 500];
+
+/// Faults of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Site {
-    /// Guilty requests, a zone cut off and gateways that start again.
+pub enum Scenario {
+    /// Crashing requests, a network partition and restarts of gateways.
     Calm,
-    /// Besides, a quarter of the engines end together every 2.5 s.
-    Waves,
+    /// In addition, a quarter of the engines crash together every 2.5 s.
+    CommonFailures,
 }
 
-/// A rule that is left out.
+/// A rule that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Without {
+pub enum Disabled {
     Nothing,
-    OtherZones,
-    Clearing,
+    Replication,
+    Refutation,
 }
 
-/// How it is judged which requests are held back.
+/// Policy by which requests are held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Judge {
-    /// As the product does: engines that nothing else explains, cleared by whole answers.
-    Blame,
-    /// Engines that ended, cleared by whole answers.
-    Ends,
-    /// How unlikely the ends would be for an innocent request, from the share of all runs that ended with their engines.
+pub enum Policy {
+    /// Code under test: attributed crashes, refuted by complete responses.
+    Attribution,
+    /// Number of crashes, refuted by complete responses.
+    CrashCount,
+    /// Probability of the crashes for an innocent request, from the share of all requests whose
+    /// engine crashed.
     Likelihood,
 }
 
-/// What became of a day.
+/// Result of a run.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     #[expect(dead_code, reason = "shown where a day fails")]
     pub seed: u64,
     pub held_innocents: usize,
-    /// Most sends of one guilty request by gateways in touch, [`CONTACT_MILLIS`] after its third end.
+    /// Maximum sends of one crashing request by reachable gateways, [`CONVERGENCE_MILLIS`] after its
+    /// third crash.
     pub late_sends: usize,
-    /// Engines that each guilty request ended.
+    /// Engines that each crashing request crashed.
     pub ended: Vec<usize>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Request {
     mark: Mark,
-    is_guilty: bool,
+    crashes_engines: bool,
     attempts: u32,
-    returns: u32,
-    waited: u64,
+    retries: u32,
+    waited_millis: u64,
 }
 
 #[derive(Debug, Clone)]
-enum Word {
+enum Message {
     End(End),
     Cleared(Mark),
-    /// The same, to the one that told of an end.
-    Answer(Mark),
-    Begun(Trial),
-    Over(Mark, SocketAddr),
+    /// The same, in reply to a report of a crash.
+    Reply(Mark),
+    TrialStarted(Trial),
+    TrialEnded(Mark, SocketAddr),
     Digest(u64, usize, bool),
 }
 
 #[derive(Debug, Clone)]
 enum Event {
-    Try(Request, usize),
-    Go(Request, usize, usize, bool),
-    /// A run comes to its end, or to the end of its engine.
-    Over(usize, u64, u64),
-    Strike(usize),
-    Wave,
-    Hear(usize, usize, Word),
+    Arrive(Request, usize),
+    StartTrial(Request, usize, usize, bool),
+    /// End of a run at an engine, unless the engine crashed before.
+    Finished(usize, u64, u64),
+    Crash(usize),
+    CommonFailure,
+    Receive(usize, usize, Message),
     Restart(usize),
-    Compare(usize),
-    Judge(usize),
+    CompareDigests(usize),
+    Evaluate(usize),
 }
 
 struct Run {
     number: u64,
     request: Request,
     gateway: usize,
-    life: u32,
+    incarnation_number: u32,
     is_trial: bool,
 }
 
 struct Engine {
-    life: u64,
+    incarnation_number: u64,
     up_at: u64,
     runs: Vec<Run>,
 }
@@ -126,27 +128,27 @@
     suspects: Suspects,
     trials: Trials,
     up_at: u64,
-    life: u32,
-    /// Runs, and those that ended with their engines, lately.
+    incarnation_number: u32,
+    /// Decaying numbers of all runs, and of those whose engine crashed.
     runs: f64,
-    broken: f64,
+    crashed: f64,
 }
 
-struct World {
+struct Simulation {
     seed: u64,
     draws: u64,
-    site: Site,
-    without: Without,
-    judge: Judge,
+    scenario: Scenario,
+    disabled: Disabled,
+    policy: Policy,
     now: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     engines: Vec<Engine>,
     gateways: Vec<Gateway>,
-    cut: (u64, u64),
+    partition: (u64, u64),
     number: u64,
-    ends: HashMap<Mark, Vec<u64>>,
-    late: HashMap<Mark, usize>,
+    crash_times: HashMap<Mark, Vec<u64>>,
+    late_sends_by_mark: HashMap<Mark, usize>,
     held_innocents: usize,
 }
 
@@ -154,7 +156,7 @@
     SocketAddr::from(([10, 0, 0, gateway as u8 + 1], 7_700))
 }
 
-fn mark_of(number: u64) -> Mark {
+fn mark_number(number: u64) -> Mark {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&number.to_le_bytes());
     Mark(bytes)
@@ -164,10 +166,10 @@
     gateway % ZONES
 }
 
-/// Plays one day.
-pub fn play(seed: u64, site: Site, without: Without, judge: Judge) -> Outcome {
-    let engine = |life| Engine {
-        life,
+/// Simulates one run.
+pub fn simulate(seed: u64, scenario: Scenario, disabled: Disabled, policy: Policy) -> Outcome {
+    let engine = |incarnation_number| Engine {
+        incarnation_number,
         up_at: 0,
         runs: Vec::new(),
     };
@@ -175,122 +177,129 @@
         suspects: Suspects::default(),
         trials: Trials::default(),
         up_at: 0,
-        life: 0,
+        incarnation_number: 0,
         runs: 1.0,
-        broken: 0.0,
+        crashed: 0.0,
     };
-    let mut world = World {
+    let mut simulation = Simulation {
         seed,
         draws: 0,
-        site,
-        without,
-        judge,
+        scenario,
+        disabled,
+        policy,
         now: 0,
         queue: BinaryHeap::new(),
         events: HashMap::new(),
         engines: (0..ENGINES as u64).map(engine).collect(),
         gateways: (0..GATEWAYS).map(gateway).collect(),
-        cut: (0, 0),
+        partition: (0, 0),
         number: 1_000,
-        ends: HashMap::new(),
-        late: HashMap::new(),
+        crash_times: HashMap::new(),
+        late_sends_by_mark: HashMap::new(),
         held_innocents: 0,
     };
-    world.prepare();
-    world.run();
+    simulation.prepare();
+    simulation.run();
     Outcome {
         seed,
-        held_innocents: world.held_innocents,
-        late_sends: world.late.values().copied().max().unwrap_or(0),
-        ended: world.ends.values().map(Vec::len).collect(),
+        held_innocents: simulation.held_innocents,
+        late_sends: simulation
+            .late_sends_by_mark
+            .values()
+            .copied()
+            .max()
+            .unwrap_or(0),
+        ended: simulation.crash_times.values().map(Vec::len).collect(),
     }
 }
 
-impl World {
+impl Simulation {
     fn draw(&mut self, below: u64) -> u64 {
         self.draws += 1;
         order::mix(order::mix(self.seed + 1) ^ self.draws) % below.max(1)
     }
 
-    fn later(&mut self, millis: u64, event: Event) {
+    fn schedule(&mut self, millis: u64, event: Event) {
         self.number += 1;
         self.queue.push(Reverse((self.now + millis, self.number)));
         self.events.insert(self.number, event);
     }
 
     fn prepare(&mut self) {
-        for at in (0..LENGTH_MILLIS).step_by(BETWEEN_MILLIS as usize) {
-            // Three in ten ask one of three things, all others ask for something of their own.
+        for at in (0..RUN_MILLIS).step_by(REQUEST_INTERVAL_MILLIS as usize) {
+            // Three in ten callers send one of three common requests, the others a unique one.
             let mark = match self.draw(10) {
-                0..3 => mark_of(self.draw(3)),
-                _ => mark_of(100_000 + at),
+                0..3 => mark_number(self.draw(3)),
+                _ => mark_number(100_000 + at),
             };
-            self.ask(at, mark, false);
+            self.submit(at, mark, false);
         }
-        for guilty in 0..1 + self.draw(3) {
+        for crashing in 0..1 + self.draw(3) {
             let between = 100 + self.draw(600);
             let mut at = 3_000 + self.draw(8_000);
-            while at < LENGTH_MILLIS {
-                // Some callers send copies at once.
+            while at < RUN_MILLIS {
+                // Some callers send duplicates.
                 for _ in 0..1 + self.draw(3) {
-                    self.ask(at, mark_of(10 + guilty), true);
+                    self.submit(at, mark_number(10 + crashing), true);
                 }
                 at += between;
             }
         }
-        if self.site == Site::Waves {
+        if self.scenario == Scenario::CommonFailures {
             for at in (8_000..28_000).step_by(2_500) {
-                self.later(at, Event::Wave);
+                self.schedule(at, Event::CommonFailure);
             }
         }
         for _ in 0..self.draw(3) {
-            let at = self.draw(LENGTH_MILLIS);
+            let at = self.draw(RUN_MILLIS);
             let gateway = self.draw(GATEWAYS as u64) as usize;
-            self.later(at, Event::Restart(gateway));
+            self.schedule(at, Event::Restart(gateway));
         }
-        let from = self.draw(LENGTH_MILLIS);
-        self.cut = (from, from + self.draw(6_000));
+        let from = self.draw(RUN_MILLIS);
+        self.partition = (from, from + self.draw(6_000));
         for gateway in 0..GATEWAYS {
             let at = self.draw(1_000);
-            self.later(at, Event::Compare(gateway));
+            self.schedule(at, Event::CompareDigests(gateway));
         }
     }
 
-    fn ask(&mut self, at: u64, mark: Mark, is_guilty: bool) {
+    fn submit(&mut self, at: u64, mark: Mark, crashes_engines: bool) {
         let gateway = self.draw(GATEWAYS as u64) as usize;
-        // A third of the callers come again more often than they are told.
-        let returns = match self.draw(3) {
+        // A third of the callers retry more often than told.
+        let retries = match self.draw(3) {
             0 => 4,
             _ => 1,
         };
         let request = Request {
             mark,
-            is_guilty,
+            crashes_engines,
             attempts: 2,
-            returns,
-            waited: 0,
+            retries,
+            waited_millis: 0,
         };
-        self.later(at, Event::Try(request, gateway));
+        self.schedule(at, Event::Arrive(request, gateway));
     }
 
     fn run(&mut self) {
         while let Some(Reverse((at, number))) = self.queue.pop() {
-            if at > LENGTH_MILLIS {
+            if at > RUN_MILLIS {
                 return;
             }
             self.now = at;
             match self.events.remove(&number).expect("queued") {
-                Event::Try(request, gateway) => self.try_at(request, gateway),
-                Event::Go(request, gateway, engine, is_alone) => {
-                    self.go_on_trial(request, gateway, engine, is_alone);
+                Event::Arrive(request, gateway) => self.arrive(request, gateway),
+                Event::StartTrial(request, gateway, engine, reserves_engine) => {
+                    self.start_trial(request, gateway, engine, reserves_engine);
                 }
-                Event::Over(engine, life, run) => self.finish(engine, life, run),
-                Event::Strike(engine) => self.strike(engine),
-                Event::Wave => self.wave(),
-                Event::Hear(gateway, from, word) => self.hear(gateway, from, &word),
+                Event::Finished(engine, incarnation_number, run) => {
+                    self.finish(engine, incarnation_number, run)
+                }
+                Event::Crash(engine) => self.crash(engine),
+                Event::CommonFailure => self.cause_common_failure(),
+                Event::Receive(gateway, from, message) => self.receive(gateway, from, &message),
                 Event::Restart(gateway) => self.restart(gateway),
-                Event::Compare(gateway) => self.compare(gateway),
-                Event::Judge(gateway) => self.judge_at(gateway),
+                Event::CompareDigests(gateway) => self.compare_digests(gateway),
+                Event::Evaluate(gateway) => self.evaluate(gateway),
             }
         }
     }
@@ -302,7 +311,7 @@
     fn standing(&self, gateway: usize, mark: Mark) -> Standing {
         let gateway = &self.gateways[gateway];
         let known = gateway.suspects.standing(mark);
-        if self.judge == Judge::Blame {
+        if self.policy == Policy::Attribution {
             return known;
         }
         let grave = gateway.suspects.grave().find(|(one, _)| *one == mark);
@@ -311,9 +320,9 @@
         };
         let is_cleared = case.cleared.is_some();
         let ends = case.ends.len();
-        let is_held = match self.judge {
-            Judge::Likelihood => {
-                let share = (gateway.broken / gateway.runs).clamp(0.001, 0.9);
+        let is_held = match self.policy {
+            Policy::Likelihood => {
+                let share = (gateway.crashed / gateway.runs).clamp(0.001, 0.9);
                 share.powi(ends as i32) < 1e-6
             }
             _ => ends >= HELD_FROM,
@@ -325,61 +334,66 @@
         }
     }
 
-    fn try_at(&mut self, request: Request, gateway: usize) {
+    fn arrive(&mut self, request: Request, gateway: usize) {
         if self.gateways[gateway].up_at > self.now {
-            return self.come_again(request);
+            return self.retry_later(request);
         }
         match self.standing(gateway, request.mark) {
-            Standing::Held => self.held_innocents += usize::from(!request.is_guilty),
+            Standing::Held => self.held_innocents += usize::from(!request.crashes_engines),
             Standing::Clear => self.send(request, gateway),
-            Standing::Noted | Standing::Suspect => self.begin_trial(request, gateway),
+            Standing::Noted | Standing::Suspect => self.announce_trial(request, gateway),
         }
     }
 
-    fn begin_trial(&mut self, mut request: Request, gateway: usize) {
+    fn announce_trial(&mut self, mut request: Request, gateway: usize) {
         let at = self.at();
         let trials = &self.gateways[gateway].trials;
-        let taken: Vec<Incarnation> = trials.engines(at).collect();
+        let reserved: Vec<Incarnation> = trials.engines(at).collect();
         let is_on_trial = trials.is_on_trial(request.mark, at);
         let is_suspect = self.standing(gateway, request.mark) == Standing::Suspect;
-        let drawn: Vec<usize> = self.with_room().collect();
-        let drawn = match drawn.len() {
+        let candidates: Vec<usize> = self.engines_with_room().collect();
+        let candidates = match candidates.len() {
             0 => None,
-            count => Some(drawn[self.draw(count as u64) as usize]),
+            count => Some(candidates[self.draw(count as u64) as usize]),
+        };
+        let free = self.engines_with_room();
+        let free = free.filter(|one| !reserved.contains(&self.incarnation(*one)));
+        let least_loaded = free.min_by_key(|one| self.engines[*one].runs.len());
+        // After one crash it doesn't wait for a free engine.
+        let reserves_engine =
+            least_loaded.is_some() || is_suspect || request.waited_millis < MAX_TRIAL_WAIT_MILLIS;
+        let least_loaded = if reserves_engine {
+            least_loaded
+        } else {
+            candidates
         };
-        let free = self.with_room();
-        let free = free.filter(|one| !taken.contains(&self.incarnation(*one)));
-        let least = free.min_by_key(|one| self.engines[*one].runs.len());
-        // After one end it does not wait for an engine of its own.
-        let is_alone = least.is_some() || is_suspect || request.waited < PATIENCE_MILLIS;
-        let least = if is_alone { least } else { drawn };
-        let Some(engine) = least.filter(|_| !is_on_trial) else {
-            request.waited += 20;
-            return match request.waited > PATIENCE_MILLIS {
-                true => self.come_again(request),
-                false => self.later(20, Event::Try(request, gateway)),
+        let Some(engine) = least_loaded.filter(|_| !is_on_trial) else {
+            request.waited_millis += 20;
+            return match request.waited_millis > MAX_TRIAL_WAIT_MILLIS {
+                true => self.retry_later(request),
+                false => self.schedule(20, Event::Arrive(request, gateway)),
             };
         };
-        let trial = self.trial(request.mark, gateway, engine, is_alone);
+        let trial = self.trial(request.mark, gateway, engine, reserves_engine);
         self.gateways[gateway].trials.note_begun(trial, at);
-        self.tell(gateway, &Word::Begun(trial));
-        let go = Event::Go(request, gateway, engine, is_alone);
-        self.later(SETTLE_MILLIS, go);
+        self.broadcast(gateway, &Message::TrialStarted(trial));
+        let event = Event::StartTrial(request, gateway, engine, reserves_engine);
+        self.schedule(SETTLE_MILLIS, event);
     }
 
-    fn trial(&self, mark: Mark, gateway: usize, engine: usize, is_alone: bool) -> Trial {
+    fn trial(&self, mark: Mark, gateway: usize, engine: usize, reserves_engine: bool) -> Trial {
         Trial {
             by: address(gateway),
             mark,
-            engine: is_alone.then(|| self.incarnation(engine)),
+            engine: reserves_engine.then(|| self.incarnation(engine)),
         }
     }
 
     fn incarnation(&self, engine: usize) -> Incarnation {
-        Incarnation(order::mix(self.engines[engine].life))
+        Incarnation(order::mix(self.engines[engine].incarnation_number))
     }
 
-    fn with_room(&self) -> impl Iterator<Item = usize> {
+    fn engines_with_room(&self) -> impl Iterator<Item = usize> {
         let has_room = |one: &usize| {
             let engine = &self.engines[*one];
             engine.up_at <= self.now && engine.runs.len() < SLOTS
@@ -387,35 +401,41 @@
         (0..ENGINES).filter(has_room)
     }
 
-    fn go_on_trial(&mut self, request: Request, gateway: usize, engine: usize, is_alone: bool) {
+    fn start_trial(
+        &mut self,
+        request: Request,
+        gateway: usize,
+        engine: usize,
+        reserves_engine: bool,
+    ) {
         if self.gateways[gateway].up_at > self.now {
             return;
         }
-        let trial = self.trial(request.mark, gateway, engine, is_alone);
+        let trial = self.trial(request.mark, gateway, engine, reserves_engine);
         let goes_on = self.gateways[gateway].trials.goes_on(&trial, self.at());
         let standing = self.standing(gateway, request.mark);
-        let is_suspect = match is_alone {
+        let is_suspect = match reserves_engine {
             true => matches!(standing, Standing::Noted | Standing::Suspect),
             false => standing == Standing::Noted,
         };
-        let has_room = self.with_room().any(|one| one == engine);
+        let has_room = self.engines_with_room().any(|one| one == engine);
         if goes_on && is_suspect && has_room {
             return self.send_to(request, gateway, engine, true);
         }
         self.end_trial(request.mark, gateway);
-        self.try_at(request, gateway);
+        self.arrive(request, gateway);
     }
 
     fn end_trial(&mut self, mark: Mark, gateway: usize) {
         let by = address(gateway);
         self.gateways[gateway].trials.note_over(mark, by);
-        self.tell(gateway, &Word::Over(mark, by));
+        self.broadcast(gateway, &Message::TrialEnded(mark, by));
     }
 
     fn send(&mut self, request: Request, gateway: usize) {
-        let up: Vec<usize> = self.with_room().collect();
+        let up: Vec<usize> = self.engines_with_room().collect();
         if up.is_empty() {
-            return self.come_again(request);
+            return self.retry_later(request);
         }
         let engine = up[self.draw(up.len() as u64) as usize];
         self.send_to(request, gateway, engine, false);
@@ -426,59 +446,67 @@
         self.note_send(request, gateway);
         self.number += 1;
         let number = self.number;
-        let life = self.engines[engine].life;
+        let incarnation_number = self.engines[engine].incarnation_number;
         self.engines[engine].runs.push(Run {
             number,
             request,
             gateway,
-            life: self.gateways[gateway].life,
+            incarnation_number: self.gateways[gateway].incarnation_number,
             is_trial,
         });
-        let takes = match request.is_guilty {
+        let run_millis = match request.crashes_engines {
             true => 40 + self.draw(700),
             false => 200 + self.draw(1_300),
         };
-        self.later(takes, Event::Over(engine, life, number));
+        self.schedule(
+            run_millis,
+            Event::Finished(engine, incarnation_number, number),
+        );
     }
 
     fn note_send(&mut self, request: Request, gateway: usize) {
-        let Some(third) = self.ends.get(&request.mark).and_then(|ends| ends.get(2)) else {
+        let Some(third) = self
+            .crash_times
+            .get(&request.mark)
+            .and_then(|ends| ends.get(2))
+        else {
             return;
         };
-        let is_late = request.is_guilty && self.now > third + CONTACT_MILLIS;
-        let is_up = self.gateways[gateway].up_at + CONTACT_MILLIS <= self.now;
-        let (from, to) = self.cut;
-        let is_cut = zone_of(gateway) == 0 && self.now >= from && self.now <= to + CONTACT_MILLIS;
-        if is_late && is_up && !is_cut {
-            *self.late.entry(request.mark).or_default() += 1;
+        let is_late = request.crashes_engines && self.now > third + CONVERGENCE_MILLIS;
+        let is_up = self.gateways[gateway].up_at + CONVERGENCE_MILLIS <= self.now;
+        let (from, to) = self.partition;
+        let is_partitioned =
+            zone_of(gateway) == 0 && self.now >= from && self.now <= to + CONVERGENCE_MILLIS;
+        if is_late && is_up && !is_partitioned {
+            *self.late_sends_by_mark.entry(request.mark).or_default() += 1;
         }
     }
 
-    fn finish(&mut self, engine: usize, life: u64, number: u64) {
-        if self.engines[engine].life != life {
+    fn finish(&mut self, engine: usize, incarnation_number: u64, number: u64) {
+        if self.engines[engine].incarnation_number != incarnation_number {
             return;
         }
         let runs = &mut self.engines[engine].runs;
-        let Some(place) = runs.iter().position(|run| run.number == number) else {
+        let Some(index) = runs.iter().position(|run| run.number == number) else {
             return;
         };
-        if runs[place].request.is_guilty {
-            let mark = runs[place].request.mark;
+        if runs[index].request.crashes_engines {
+            let mark = runs[index].request.mark;
             let now = self.now;
-            self.ends.entry(mark).or_default().push(now);
-            return self.strike(engine);
+            self.crash_times.entry(mark).or_default().push(now);
+            return self.crash(engine);
         }
-        let run = runs.swap_remove(place);
+        let run = runs.swap_remove(index);
         let gateway = &mut self.gateways[run.gateway];
-        if gateway.life != run.life {
+        if gateway.incarnation_number != run.incarnation_number {
             return;
         }
         gateway.runs = gateway.runs * 0.995 + 1.0;
-        gateway.broken *= 0.995;
-        if self.without != Without::Clearing {
+        gateway.crashed *= 0.995;
+        if self.disabled != Disabled::Refutation {
             let refutes = gateway.suspects.note_finished(run.request.mark, Version(1));
             if refutes {
-                self.tell(run.gateway, &Word::Cleared(run.request.mark));
+                self.broadcast(run.gateway, &Message::Cleared(run.request.mark));
             }
         }
         if run.is_trial {
@@ -486,135 +514,139 @@
         }
     }
 
-    /// An engine ends.
-    fn strike(&mut self, engine: usize) {
+    /// Crashes an engine.
+    fn crash(&mut self, engine: usize) {
         if self.engines[engine].up_at > self.now {
             return;
         }
-        let back = 1_000 + self.draw(3_000);
+        let restart_millis = 1_000 + self.draw(3_000);
         let incarnation = self.incarnation(engine);
-        let ended = &mut self.engines[engine];
-        ended.up_at = self.now + back;
-        ended.life += ENGINES as u64;
-        for run in std::mem::take(&mut ended.runs) {
+        let crashed_engine = &mut self.engines[engine];
+        crashed_engine.up_at = self.now + restart_millis;
+        crashed_engine.incarnation_number += ENGINES as u64;
+        for run in std::mem::take(&mut crashed_engine.runs) {
             let gateway = &mut self.gateways[run.gateway];
-            if gateway.life != run.life {
+            if gateway.incarnation_number != run.incarnation_number {
                 continue;
             }
             gateway.runs = gateway.runs * 0.995 + 1.0;
-            gateway.broken = gateway.broken * 0.995 + 1.0;
-            let word = 1 + self.draw(WORD_MILLIS);
+            gateway.crashed = gateway.crashed * 0.995 + 1.0;
+            let delay_millis = 1 + self.draw(MAX_DELAY_MILLIS);
             let end = End {
                 mark: run.request.mark,
                 account: 0,
                 engine: incarnation,
                 version: Version(1),
-                at: Instant::from_millis(self.now + word + 100_000),
+                at: Instant::from_millis(self.now + delay_millis + 100_000),
             };
-            self.later(word, Event::Hear(run.gateway, run.gateway, Word::End(end)));
+            self.schedule(
+                delay_millis,
+                Event::Receive(run.gateway, run.gateway, Message::End(end)),
+            );
             if run.is_trial {
                 self.end_trial(run.request.mark, run.gateway);
             }
             match run.request.attempts {
-                0 => self.come_again(run.request),
-                _ => self.later(word + 1, Event::Try(run.request, run.gateway)),
+                0 => self.retry_later(run.request),
+                _ => self.schedule(delay_millis + 1, Event::Arrive(run.request, run.gateway)),
             }
         }
     }
 
-    fn wave(&mut self) {
+    fn cause_common_failure(&mut self) {
         let first = self.draw(ENGINES as u64) as usize;
         for number in 0..ENGINES / 4 {
             let millis = self.draw(3);
-            self.later(millis, Event::Strike((first + number) % ENGINES));
+            self.schedule(millis, Event::Crash((first + number) % ENGINES));
         }
     }
 
-    fn come_again(&mut self, request: Request) {
-        if request.returns == 0 {
+    fn retry_later(&mut self, request: Request) {
+        if request.retries == 0 {
             return;
         }
-        let again = Request {
+        let retry = Request {
             attempts: 2,
-            returns: request.returns - 1,
-            waited: 0,
+            retries: request.retries - 1,
+            waited_millis: 0,
             ..request
         };
         let gateway = self.draw(GATEWAYS as u64) as usize;
         let wait = 50 + self.draw(800);
-        self.later(wait, Event::Try(again, gateway));
+        self.schedule(wait, Event::Arrive(retry, gateway));
     }
 
-    fn tell(&mut self, gateway: usize, word: &Word) {
-        self.tell_later(gateway, word, 0);
+    fn broadcast(&mut self, gateway: usize, message: &Message) {
+        self.broadcast_after(gateway, message, 0);
     }
 
-    fn tell_later(&mut self, gateway: usize, word: &Word, millis: u64) {
+    fn broadcast_after(&mut self, gateway: usize, message: &Message, millis: u64) {
         for other in (0..GATEWAYS).filter(|other| *other != gateway) {
-            self.send_word(gateway, other, word.clone(), millis);
+            self.send_message(gateway, other, message.clone(), millis);
         }
     }
 
-    fn send_word(&mut self, from: usize, to: usize, word: Word, millis: u64) {
+    fn send_message(&mut self, from: usize, to: usize, message: Message, millis: u64) {
         let at = self.now + millis;
         let crosses = zone_of(from) != zone_of(to);
-        let is_cut =
-            (zone_of(from) == 0 || zone_of(to) == 0) && self.cut.0 <= at && at <= self.cut.1;
-        let is_lost = self.draw(100) < LOST;
-        if is_lost || (crosses && (is_cut || self.without == Without::OtherZones)) {
+        let is_partitioned = (zone_of(from) == 0 || zone_of(to) == 0)
+            && self.partition.0 <= at
+            && at <= self.partition.1;
+        let is_lost = self.draw(100) < LOST_PERCENT;
+        if is_lost || (crosses && (is_partitioned || self.disabled == Disabled::Replication)) {
             return;
         }
-        let way = 1 + self.draw(WORD_MILLIS);
-        self.later(millis + way, Event::Hear(to, from, word));
+        let delay_millis = 1 + self.draw(MAX_DELAY_MILLIS);
+        self.schedule(millis + delay_millis, Event::Receive(to, from, message));
     }
 
-    fn hear(&mut self, gateway: usize, from: usize, word: &Word) {
+    fn receive(&mut self, gateway: usize, from: usize, message: &Message) {
         if self.gateways[gateway].up_at > self.now {
             return;
         }
         let at = self.at();
-        let known = &mut self.gateways[gateway];
-        match word {
-            Word::End(end) => {
-                let noted = known.suspects.note_end(*end, ENGINES);
+        let state = &mut self.gateways[gateway];
+        match message {
+            Message::End(end) => {
+                let noted = state.suspects.note_end(*end, ENGINES);
                 let is_news = noted == Noted::News;
                 if from == gateway && is_news {
-                    for millis in REPEATS {
-                        self.tell_later(gateway, &Word::End(*end), millis);
+                    for millis in REPEAT_DELAYS_MILLIS {
+                        self.broadcast_after(gateway, &Message::End(*end), millis);
                     }
                 }
                 if from != gateway && matches!(noted, Noted::Refuted(_)) {
-                    self.send_word(gateway, from, Word::Answer(end.mark), 0);
+                    self.send_message(gateway, from, Message::Reply(end.mark), 0);
                 }
                 if is_news {
-                    self.later(JUDGED_AFTER_MILLIS + 1, Event::Judge(gateway));
+                    self.schedule(JUDGED_AFTER_MILLIS + 1, Event::Evaluate(gateway));
                 }
             }
-            Word::Cleared(mark) => {
-                known.suspects.note_cleared(*mark, Version(1));
+            Message::Cleared(mark) => {
+                state.suspects.note_cleared(*mark, Version(1));
             }
-            Word::Answer(mark) => {
-                if known.suspects.note_cleared(*mark, Version(1)) {
-                    self.tell(gateway, &Word::Cleared(*mark));
+            Message::Reply(mark) => {
+                if state.suspects.note_cleared(*mark, Version(1)) {
+                    self.broadcast(gateway, &Message::Cleared(*mark));
                 }
             }
-            Word::Over(mark, by) => known.trials.note_over(*mark, *by),
-            Word::Begun(trial) => known.trials.note_begun(*trial, at),
-            Word::Digest(digest, from, is_answer) => {
-                self.answer(gateway, *digest, *from, *is_answer);
+            Message::TrialEnded(mark, by) => state.trials.note_over(*mark, *by),
+            Message::TrialStarted(trial) => state.trials.note_begun(*trial, at),
+            Message::Digest(digest, from, is_reply) => {
+                self.reply_to_digest(gateway, *digest, *from, *is_reply);
             }
         }
     }
 
-    fn judge_at(&mut self, gateway: usize) {
+    fn evaluate(&mut self, gateway: usize) {
         let at = self.at();
         for mark in self.gateways[gateway].suspects.judge(at) {
-            self.break_off(gateway, mark);
+            self.abort_runs(gateway, mark);
         }
     }
 
-    /// What is under way of a request that is held back ends.
-    fn break_off(&mut self, gateway: usize, mark: Mark) {
+    /// Aborts all runs of a request that is held back.
+    fn abort_runs(&mut self, gateway: usize, mark: Mark) {
         for engine in &mut self.engines {
             engine
                 .runs
@@ -622,44 +654,44 @@
         }
     }
 
-    fn answer(&mut self, gateway: usize, digest: u64, from: usize, is_answer: bool) {
+    fn reply_to_digest(&mut self, gateway: usize, digest: u64, from: usize, is_reply: bool) {
         let own = self.gateways[gateway].suspects.digest();
         if own == digest {
             return;
         }
         let grave = self.gateways[gateway].suspects.grave();
-        let words = |(mark, case): (Mark, &Case)| {
-            let ends = case.ends.iter().map(|end| Word::End(*end));
-            ends.chain(case.cleared.map(|_| Word::Cleared(mark)))
+        let messages = |(mark, case): (Mark, &Case)| {
+            let ends = case.ends.iter().map(|end| Message::End(*end));
+            ends.chain(case.cleared.map(|_| Message::Cleared(mark)))
                 .collect::<Vec<_>>()
         };
-        let words: Vec<Word> = grave.flat_map(words).collect();
-        for word in words {
-            self.send_word(gateway, from, word, 0);
+        let messages: Vec<Message> = grave.flat_map(messages).collect();
+        for message in messages {
+            self.send_message(gateway, from, message, 0);
         }
-        if !is_answer {
-            self.send_word(gateway, from, Word::Digest(own, gateway, true), 0);
+        if !is_reply {
+            self.send_message(gateway, from, Message::Digest(own, gateway, true), 0);
         }
     }
 
-    fn compare(&mut self, gateway: usize) {
-        self.later(1_000, Event::Compare(gateway));
+    fn compare_digests(&mut self, gateway: usize) {
+        self.schedule(1_000, Event::CompareDigests(gateway));
         let is_new = self.now < self.gateways[gateway].up_at + 4_000;
         let digest = self.gateways[gateway].suspects.digest();
         if self.gateways[gateway].up_at > self.now || (digest == 0 && !is_new) {
             return;
         }
         let other = (gateway + 1 + self.draw(GATEWAYS as u64 - 1) as usize) % GATEWAYS;
-        self.send_word(gateway, other, Word::Digest(digest, gateway, false), 0);
+        self.send_message(gateway, other, Message::Digest(digest, gateway, false), 0);
     }
 
     fn restart(&mut self, gateway: usize) {
         let up_at = self.now + 500 + self.draw(1_500);
-        let known = &mut self.gateways[gateway];
-        known.suspects = Suspects::default();
-        known.trials = Trials::default();
-        known.life += 1;
-        known.up_at = up_at;
+        let state = &mut self.gateways[gateway];
+        state.suspects = Suspects::default();
+        state.trials = Trials::default();
+        state.incarnation_number += 1;
+        state.up_at = up_at;
         for engine in &mut self.engines {
             engine.runs.retain(|run| run.gateway != gateway);
         }
--- a/crates/gingerpier_serving/tests/unnamed.rs
+++ b/crates/gingerpier_serving/tests/unnamed.rs
@@ -1,12 +1,12 @@
-//! Whatever memory is lost at whatever moment, weights come back with no further word from outside.
+//! Guards against engines that stay without weights after any processes lost their memory.
 //!
-//! A model without I/O of gateways, loaders, engines and the origin. Any of their memories may be wiped at any moment of
-//! the first seconds; afterwards the store, the origin and all machines are well and nothing happens any more. Then every
-//! engine has to hold weights that the origin gives, or those that were named. What decides is the code under test; the
-//! model repeats what the processes do with it: gateways carry what loaders ask them for, unless they carry something
-//! newer, and tell loaders of their zone what there is.
+//! Simulates gateways, loaders, engines and the origin of a model. During the first seconds any of
+//! their memories may be wiped; afterwards the store, the origin and all machines work. Then every
+//! engine must hold weights that the origin has, or released ones. Gateways fetch what loaders
+//! request, unless they fetch something newer, and report known versions to the loaders of their
+//! zone.
 //!
-//! Each rule that the property needs can be left out of the model, and is seen to be needed.
+//! Without each of the rules in [`Without`] the simulation must fail.
 
 use {
     gingerpier_base::Instant,
@@ -19,39 +19,40 @@
 
 const STEP_MILLIS: u64 = 50;
 
-/// Milliseconds in which memories are wiped.
-const TROUBLE_MILLIS: u64 = 8_000;
+/// Milliseconds during which memories are wiped.
+const FAULT_MILLIS: u64 = 8_000;
 
-/// Milliseconds of calm after which everything has to be served: the least bound that operators set for it is 12 s.
-const CALM_MILLIS: u64 = 12_000;
+/// Milliseconds without faults after which all engines must have weights; the smallest bound that
+/// operators may configure.
+const RECOVERY_MILLIS: u64 = 12_000;
 
-/// Milliseconds from its start until a process is up and has heard others.
-const UP_MILLIS: u64 = 700;
+/// Milliseconds from a restart until a process has discovered others.
+const START_MILLIS: u64 = 700;
 
-/// Milliseconds between two words of a gateway to loaders.
-const TELL_MILLIS: u64 = 500;
+/// Milliseconds between reports of a gateway to loaders.
+const REPORT_INTERVAL_MILLIS: u64 = 500;
 
-/// Milliseconds that a chunk takes on the origin's link, and chunks of a version.
+/// Milliseconds per chunk on the origin's link, and chunks per version.
 const CHUNK_MILLIS: u64 = 100;
 const CHUNKS: usize = 12;
 
-/// Milliseconds that a loader needs to lay weights and order its engine to take them.
-const LAY_MILLIS: u64 = 300;
+/// Milliseconds that a loader needs to stage weights and order its engine to load them.
+const ACTIVATION_MILLIS: u64 = 300;
 
 const GATEWAYS: usize = 4;
 const ZONES: usize = 2;
 const LOADERS: usize = 6;
 
-/// A rule that may be left out.
+/// A rule that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Without {
     Nothing,
-    /// Nobody asks the origin what it has.
+    /// Gateways never ask the origin.
     Search,
-    /// What engines were said to hold goes before what the origin has.
-    FoundFirst,
-    /// Versions that the origin does not have stay on their way.
-    GivingUp,
+    /// Versions reported by engines take precedence over that of the origin.
+    OriginPrecedence,
+    /// Versions that the origin lacks are never dropped.
+    DropUnavailable,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -60,58 +61,58 @@
     named: Option<Version>,
     found: Option<Version>,
     search: Search,
-    /// Versions on their way or here, each with its chunks.
-    carried: Vec<(Version, usize)>,
+    /// Versions being fetched or complete, with their number of chunks.
+    fetched: Vec<(Version, usize)>,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Loader {
     up_at: u64,
-    /// What each gateway told last, and whether the origin was found to have it.
-    told: [Option<(Version, bool)>; GATEWAYS],
+    /// Last report of each gateway, and whether its version comes from the origin.
+    reported: [Option<(Version, bool)>; GATEWAYS],
     named: Option<Version>,
-    /// What the list said that others hold, when it was read last.
-    listed: Option<Version>,
+    /// Newest version in the list of engines when it was last read.
+    listed_version: Option<Version>,
     patience: Patience,
-    /// Version that is whole here, and since when.
-    whole: Option<(Version, u64)>,
+    /// Complete version, and since when.
+    complete: Option<(Version, u64)>,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     without: Without,
     draws: u64,
     named: Option<Version>,
     origin: Version,
     origin_away_until: u64,
-    /// What an engine that is gone was said to hold, for as long as its entry stays.
-    ghost: Option<Version>,
+    /// Version in the stale entry of a removed engine.
+    stale_version: Option<Version>,
     gateways: Vec<Gateway>,
     loaders: Vec<Loader>,
     engines: Vec<Option<Version>>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, without: Without) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             without,
             draws: seed,
             named: None,
             origin: Version(1),
             origin_away_until: 0,
-            ghost: None,
+            stale_version: None,
             gateways: vec![Gateway::default(); GATEWAYS],
             loaders: vec![Loader::default(); LOADERS],
             engines: vec![Some(Version(1)); LOADERS],
         };
-        // Versions of before may have gone from the origin, and an entry may tell of any.
-        world.origin = Version(1 + world.draw(3));
-        world.engines = vec![Some(world.origin); LOADERS];
-        if world.draw(3) == 0 {
-            world.ghost = Some(Version(1 + world.draw(6)));
+        // The origin may have dropped earlier versions, and a stale entry may contain any version.
+        simulation.origin = Version(1 + simulation.draw(3));
+        simulation.engines = vec![Some(simulation.origin); LOADERS];
+        if simulation.draw(3) == 0 {
+            simulation.stale_version = Some(Version(1 + simulation.draw(6)));
         }
-        world
+        simulation
     }
 
     fn draw(&mut self, below: u64) -> u64 {
@@ -119,36 +120,36 @@
         gingerpier_base::order::mix(self.draws) % below
     }
 
-    fn gives(&self, version: Version) -> bool {
+    fn has_version(&self, version: Version) -> bool {
         let is_kept = version == self.origin || version.0 + 1 == self.origin.0;
         self.now >= self.origin_away_until && is_kept
     }
 
     fn wipe(&mut self) {
-        let share = 1 + self.draw(4);
+        let wipe_probability = 1 + self.draw(4);
         for index in 0..GATEWAYS {
-            if self.draw(4) < share {
+            if self.draw(4) < wipe_probability {
                 self.gateways[index] = Gateway {
-                    up_at: self.now + UP_MILLIS + self.draw(400),
+                    up_at: self.now + START_MILLIS + self.draw(400),
                     ..Gateway::default()
                 };
             }
         }
         for index in 0..LOADERS {
-            if self.draw(4) < share {
+            if self.draw(4) < wipe_probability {
                 self.loaders[index] = Loader {
-                    up_at: self.now + UP_MILLIS + self.draw(400),
+                    up_at: self.now + START_MILLIS + self.draw(400),
                     ..Loader::default()
                 };
             }
-            if self.draw(4) < share {
+            if self.draw(4) < wipe_probability {
                 self.engines[index] = None;
             }
         }
         match self.draw(8) {
             0 => self.origin_away_until = self.now + self.draw(4_000),
             1 => {
-                // Operators name what the origin has from then on.
+                // Operators release a new version that the origin has from then on.
                 self.origin = Version(self.origin.0 + 1);
                 self.named = Some(self.origin);
             }
@@ -162,10 +163,10 @@
         let known = Known {
             named: own.named,
             found: own.found,
-            held: held.max(self.ghost),
+            held: held.max(self.stale_version),
         };
         match self.without {
-            Without::FoundFirst if own.named.is_none() => Known {
+            Without::OriginPrecedence if own.named.is_none() => Known {
                 found: known.held.or(known.found),
                 ..known
             },
@@ -179,25 +180,26 @@
         }
         self.gateways[index].named = self.named;
         let known = self.known(index);
-        let ahead = (index % ZONES..index).step_by(ZONES);
-        let ahead = ahead.filter(|other| self.now >= self.gateways[*other].up_at);
-        let rank = ahead.count() as u32;
-        let carried = &self.gateways[index].carried;
+        let earlier_gateways = (index % ZONES..index).step_by(ZONES);
+        let earlier_gateways =
+            earlier_gateways.filter(|other| self.now >= self.gateways[*other].up_at);
+        let rank = earlier_gateways.count() as u32;
+        let fetched = &self.gateways[index].fetched;
         let seen = Seen {
             is_lacking: known.named.is_none() && self.engines.contains(&None),
-            is_known: known.wanted().is_some() || !carried.is_empty(),
+            is_known: known.wanted().is_some() || !fetched.is_empty(),
             is_whole: known
                 .wanted()
-                .is_some_and(|version| carried.contains(&(version, CHUNKS))),
-            chunks: carried.iter().map(|(_, chunks)| chunks).sum(),
+                .is_some_and(|version| fetched.contains(&(version, CHUNKS))),
+            chunks: fetched.iter().map(|(_, chunks)| chunks).sum(),
             rank,
         };
         let now = Instant::from_millis(self.now);
         let draw = self.draw(u64::MAX);
-        let (origin, is_there) = (self.origin, self.gives(self.origin));
+        let (origin, is_origin_available) = (self.origin, self.has_version(self.origin));
         let own = &mut self.gateways[index];
         if self.without != Without::Search && own.search.is_due(&seen, now) {
-            match is_there {
+            match is_origin_available {
                 true => {
                     own.search.note_found(now);
                     own.found = Some(origin);
@@ -205,32 +207,32 @@
                 false => own.search.note_failure(now, draw),
             }
         }
-        if self.without != Without::GivingUp {
-            own.carried
+        if self.without != Without::DropUnavailable {
+            own.fetched
                 .retain(|(version, chunks)| *chunks > 0 || known.may_be_had(*version));
         }
-        // What is named is carried without being asked for.
-        let is_carried = |named: &Version| own.carried.iter().any(|(version, _)| version == named);
-        if let Some(named) = known.named.filter(|named| !is_carried(named)) {
-            own.carried.push((named, 0));
+        // A released version is fetched without a request.
+        let is_fetched = |named: &Version| own.fetched.iter().any(|(version, _)| version == named);
+        if let Some(named) = known.named.filter(|named| !is_fetched(named)) {
+            own.fetched.push((named, 0));
         }
         if self.now.is_multiple_of(CHUNK_MILLIS) {
-            let gives: Vec<bool> = (self.gateways[index].carried.iter())
-                .map(|(version, _)| self.gives(*version))
+            let has_version: Vec<bool> = (self.gateways[index].fetched.iter())
+                .map(|(version, _)| self.has_version(*version))
                 .collect();
             let own = &mut self.gateways[index];
-            for ((_, chunks), gives) in own.carried.iter_mut().zip(gives) {
-                if gives {
+            for ((_, chunks), has_version) in own.fetched.iter_mut().zip(has_version) {
+                if has_version {
                     *chunks = (*chunks + 1).min(CHUNKS);
                 }
             }
         }
-        if self.now.is_multiple_of(TELL_MILLIS) {
-            let told = known.wanted().filter(|_| known.named.is_none());
-            let told = told.map(|version| (version, known.found.is_some()));
+        if self.now.is_multiple_of(REPORT_INTERVAL_MILLIS) {
+            let reported = known.wanted().filter(|_| known.named.is_none());
+            let reported = reported.map(|version| (version, known.found.is_some()));
             for loader in self.loaders.iter_mut().skip(index % ZONES).step_by(ZONES) {
                 if self.now >= loader.up_at {
-                    loader.told[index] = told;
+                    loader.reported[index] = reported;
                     loader.named = loader.named.max(known.named);
                 }
             }
@@ -243,20 +245,20 @@
         }
         if self.now < self.loaders[index].up_at + STEP_MILLIS {
             let held = self.engines.iter().copied().flatten().max();
-            self.loaders[index].listed = held.max(self.ghost);
+            self.loaders[index].listed_version = held.max(self.stale_version);
         }
         let now = Instant::from_millis(self.now);
         let is_held = self.engines[index].is_some();
         let own = &mut self.loaders[index];
-        let told = |wants_found| {
-            let told = own.told.iter().flatten();
-            let told = told.filter(|(_, is_found)| *is_found == wants_found);
-            told.map(|(version, _)| *version).max()
+        let reported = |wants_found| {
+            let reported = own.reported.iter().flatten();
+            let reported = reported.filter(|(_, is_found)| *is_found == wants_found);
+            reported.map(|(version, _)| *version).max()
         };
         let known = Known {
             named: own.named,
-            found: told(true),
-            held: own.listed.max(told(false)),
+            found: reported(true),
+            held: own.listed_version.max(reported(false)),
         };
         let wanted = match known.wanted() {
             Some(version) => {
@@ -270,27 +272,28 @@
         if self.engines[index] >= Some(wanted) {
             return;
         }
-        if let Some((version, at)) = self.loaders[index].whole
+        if let Some((version, at)) = self.loaders[index].complete
             && (version == wanted || wanted == Version::default())
         {
-            if self.now >= at + LAY_MILLIS {
+            if self.now >= at + ACTIVATION_MILLIS {
                 self.engines[index] = Some(version);
             }
             return;
         }
-        if self.bring(index, wanted) {
+        if self.fetch(index, wanted) {
             let version = match wanted {
                 Version(0) => self.origin,
                 version => version,
             };
-            self.loaders[index].whole = Some((version, self.now));
+            self.loaders[index].complete = Some((version, self.now));
         }
     }
 
-    /// Asks the gateways of the zone, or the origin for what it has; true once it is here whole.
-    fn bring(&mut self, index: usize, wanted: Version) -> bool {
+    /// Requests the version from the gateways of the zone, or the origin's version; returns true if
+    /// it is complete.
+    fn fetch(&mut self, index: usize, wanted: Version) -> bool {
         if wanted == Version::default() {
-            return self.gives(self.origin);
+            return self.has_version(self.origin);
         }
         let mut is_here = false;
         for gateway in (index % ZONES..GATEWAYS).step_by(ZONES) {
@@ -299,12 +302,12 @@
             if self.now < own.up_at {
                 continue;
             }
-            let carried = &own.carried;
-            is_here |= carried.contains(&(wanted, CHUNKS));
-            let is_newest = carried.iter().all(|(version, _)| *version <= wanted);
-            let is_on_its_way = carried.iter().any(|(version, _)| *version == wanted);
+            let fetched = &own.fetched;
+            is_here |= fetched.contains(&(wanted, CHUNKS));
+            let is_newest = fetched.iter().all(|(version, _)| *version <= wanted);
+            let is_on_its_way = fetched.iter().any(|(version, _)| *version == wanted);
             if is_newest && !is_on_its_way && known.may_be_had(wanted) {
-                own.carried.push((wanted, 0));
+                own.fetched.push((wanted, 0));
             }
         }
         is_here
@@ -320,22 +323,23 @@
         }
     }
 
-    /// Plays the trouble and the calm; true where all engines serve at its end.
-    fn play(mut self) -> bool {
-        let mut next = self.draw(2_000);
-        while self.now < TROUBLE_MILLIS {
-            if self.now >= next {
+    /// Runs the faults and the time without faults; returns true if all engines have weights at the
+    /// end.
+    fn run(mut self) -> bool {
+        let mut next_wipe = self.draw(2_000);
+        while self.now < FAULT_MILLIS {
+            if self.now >= next_wipe {
                 self.wipe();
-                next = self.now + 400 + self.draw(4_000);
+                next_wipe = self.now + 400 + self.draw(4_000);
             }
             self.step();
         }
-        let calm = self.now.max(self.origin_away_until) + CALM_MILLIS;
-        while self.now < calm {
+        let end = self.now.max(self.origin_away_until) + RECOVERY_MILLIS;
+        while self.now < end {
             self.step();
         }
-        let least = self.named.unwrap_or(Version(1));
-        self.engines.iter().all(|held| *held >= Some(least))
+        let minimum = self.named.unwrap_or(Version(1));
+        self.engines.iter().all(|held| *held >= Some(minimum))
     }
 }
 
@@ -343,32 +347,36 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn weights_come_back_whatever_was_lost(seed in any::<u64>()) {
-        prop_assert!(World::new(seed, Without::Nothing).play());
+    fn every_engine_has_weights_again_after_any_loss_of_memory(seed in any::<u64>()) {
+        prop_assert!(Simulation::new(seed, Without::Nothing).run());
     }
 }
 
 #[test]
 fn each_rule_is_needed() {
-    for without in [Without::Search, Without::FoundFirst, Without::GivingUp] {
-        let fails = (0..2_000).filter(|seed| !World::new(*seed, without).play());
-        assert!(fails.count() > 0, "{without:?}");
+    for without in [
+        Without::Search,
+        Without::OriginPrecedence,
+        Without::DropUnavailable,
+    ] {
+        let failures = (0..2_000).filter(|seed| !Simulation::new(*seed, without).run());
+        assert!(failures.count() > 0, "{without:?}");
     }
 }
 
-/// Everything is lost at once, where nothing was named and no list tells of weights.
+/// All memory is lost at once, without a release or a listed version.
 #[test]
-fn one_gateway_asks_the_origin_where_everything_is_lost() {
-    let mut world = World::new(1, Without::Nothing);
-    world.ghost = None;
-    world.engines = vec![None; LOADERS];
-    let asked = |world: &World| {
-        let found = world.gateways.iter().filter(|one| one.found.is_some());
+fn one_gateway_per_zone_asks_the_origin_after_total_loss() {
+    let mut simulation = Simulation::new(1, Without::Nothing);
+    simulation.stale_version = None;
+    simulation.engines = vec![None; LOADERS];
+    let origin_reads = |simulation: &Simulation| {
+        let found = simulation.gateways.iter().filter(|one| one.found.is_some());
         found.count()
     };
-    while !world.engines.iter().all(Option::is_some) {
-        world.step();
-        assert!(world.now < CALM_MILLIS, "{:?}", world.engines);
+    while !simulation.engines.iter().all(Option::is_some) {
+        simulation.step();
+        assert!(simulation.now < RECOVERY_MILLIS, "{:?}", simulation.engines);
     }
-    assert_eq!(asked(&world), ZONES, "one gateway of each zone");
+    assert_eq!(origin_reads(&simulation), ZONES, "one gateway of each zone");
 }
--- a/crates/gingerpier_serving/tests/zones.rs
+++ b/crates/gingerpier_serving/tests/zones.rs
@@ -1,5 +1,5 @@
-//! What gateways hear of other zones: little crosses between zones, and every gateway hears, with lost,
-//! late and repeated digests and with senders and receivers that die.
+//! Guards against traffic between zones that grows with gateways, and against zones whose digests
+//! stop arriving, with lost, late and repeated packets and with dead senders and receivers.
 
 use {
     gingerpier_base::{Instant, order},
@@ -10,16 +10,16 @@
 
 const ZONES: usize = 3;
 const TICK_MILLIS: u64 = 25;
-const NAMED_EVERY_MILLIS: u64 = 500;
-/// Milliseconds without a digest for which a zone must still count as heard.
-const HEARD_MILLIS: u64 = 1_200;
-/// Digests of one zone to another that are made within [`HEARD_MILLIS`]: two rounds of each sender.
-const MADE: usize = 2 * DIGEST_SENDERS;
-/// Milliseconds for which fates are kept: longer than [`HEARD_MILLIS`] and two delays.
-const FATES_KEPT_MILLIS: u64 = 3_000;
-/// Per cent of lost packets below which, in each of the 300,000 cases that can be drawn, one of three
-/// looks finds at most one pair unheard. Where more is lost, chance alone breaks that bound.
-const LESS_LOST: u64 = 15;
+const MENTION_INTERVAL_MILLIS: u64 = 500;
+/// Milliseconds without a digest after which a zone is silent.
+const ZONE_TIMEOUT_MILLIS: u64 = 1_200;
+/// Digests that one zone sends to another within [`ZONE_TIMEOUT_MILLIS`]: two rounds of each sender.
+const EXPECTED_DIGESTS: usize = 2 * DIGEST_SENDERS;
+/// Milliseconds for which fates are kept; longer than [`ZONE_TIMEOUT_MILLIS`] and two delays.
+const FATE_RETENTION_MILLIS: u64 = 3_000;
+/// Percentage of lost packets up to which at least one of three checks finds at max_packets one silent
+/// pair; with more loss, chance alone exceeds that.
+const MODERATE_LOSS_PERCENT: u64 = 15;
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(1_000_000 + millis)
@@ -30,12 +30,12 @@
     SocketAddr::from(([10, zone as u8, high, low], 7_700))
 }
 
-fn name(zone: usize) -> String {
+fn zone_name(zone: usize) -> String {
     format!("zone-{zone}")
 }
 
-fn names() -> Vec<String> {
-    (0..ZONES).map(name).collect()
+fn zone_names() -> Vec<String> {
+    (0..ZONES).map(zone_name).collect()
 }
 
 struct Gateway {
@@ -53,21 +53,21 @@
     sender: SocketAddr,
     stamp: u64,
     count: u32,
-    is_passed_on: bool,
+    is_forwarded: bool,
 }
 
-/// What became of a packet: when it comes, or nothing where it was lost.
+/// Fate of a packet: its arrival time, none if it was lost.
 struct Fate {
     packet: Packet,
-    comes: Option<u64>,
+    arrives_at: Option<u64>,
 }
 
-/// What a network does to packets, in per cent.
+/// Network faults in per cent of packets.
 #[derive(Clone, Copy, Default)]
 struct Faults {
-    lost: u64,
-    late: u64,
-    repeated: u64,
+    lost_percent: u64,
+    late_percent: u64,
+    repeated_percent: u64,
 }
 
 struct Network {
@@ -77,33 +77,36 @@
     faults: Faults,
     draws: u64,
     millis: u64,
-    /// Packets from one zone to another.
-    crossed: usize,
+    /// Packets sent between zones.
+    sent_between_zones: usize,
 }
 
 impl Network {
-    fn new(gateways_a_zone: usize, faults: Faults) -> Self {
-        let zones = names();
+    fn new(gateways_per_zone: usize, faults: Faults) -> Self {
+        let zones = zone_names();
         let gateway = |zone: usize, number: usize| Gateway {
             zone,
             address: address(zone, number),
             exchange: Exchange::new(
                 address(zone, number),
-                &name(zone),
+                &zone_name(zone),
                 zones.iter().map(String::as_str),
                 at(0),
             ),
             is_alive: true,
         };
-        let places = (0..ZONES).flat_map(|zone| (0..gateways_a_zone).map(move |n| (zone, n)));
+        let gateway_numbers =
+            (0..ZONES).flat_map(|zone| (0..gateways_per_zone).map(move |n| (zone, n)));
         Self {
-            gateways: places.map(|(zone, number)| gateway(zone, number)).collect(),
+            gateways: gateway_numbers
+                .map(|(zone, number)| gateway(zone, number))
+                .collect(),
             packets: Vec::new(),
             fates: Vec::new(),
             faults,
             draws: 0,
             millis: 0,
-            crossed: 0,
+            sent_between_zones: 0,
         }
     }
 
@@ -116,8 +119,8 @@
         let end = self.millis + millis;
         while self.millis < end {
             self.millis += TICK_MILLIS;
-            if self.millis.is_multiple_of(NAMED_EVERY_MILLIS) {
-                self.name_gateways();
+            if self.millis.is_multiple_of(MENTION_INTERVAL_MILLIS) {
+                self.mention_gateways();
             }
             self.probe();
             self.send();
@@ -125,26 +128,28 @@
         }
     }
 
-    /// Loaders name the gateways of their zone to those that ask them.
-    fn name_gateways(&mut self) {
+    /// Mentions the live gateways of a zone to the gateways that poll its loaders.
+    fn mention_gateways(&mut self) {
         let now = at(self.millis);
-        let living: Vec<(usize, SocketAddr)> = self
+        let alive: Vec<(usize, SocketAddr)> = self
             .gateways
             .iter()
             .filter(|gateway| gateway.is_alive)
             .map(|gateway| (gateway.zone, gateway.address))
             .collect();
         for gateway in &mut self.gateways {
-            for (zone, member) in &living {
-                let asks = gateway.exchange.sample(&name(*zone), now) > 0;
-                if *zone == gateway.zone || asks {
-                    gateway.exchange.note_member(&name(*zone), *member, now);
+            for (zone, member) in &alive {
+                let is_polling = gateway.exchange.sample(&zone_name(*zone), now) > 0;
+                if *zone == gateway.zone || is_polling {
+                    gateway
+                        .exchange
+                        .note_member(&zone_name(*zone), *member, now);
                 }
             }
         }
     }
 
-    /// Gateways probe each other; probes and answers are lost as other packets are.
+    /// Runs the probes between gateways, which are subject to loss.
     fn probe(&mut self) {
         let now = at(self.millis);
         for index in 0..self.gateways.len() {
@@ -153,32 +158,35 @@
             }
             self.gateways[index].exchange.liveness().note_heard(now);
             for member in self.gateways[index].exchange.liveness().poll(now) {
-                if self.tell(index, member) {
-                    let other = self.place(member);
+                if self.send_updates(index, member) {
+                    let other = self.index_of(member);
                     let own = self.gateways[index].address;
-                    other.map(|other| self.tell(other, own));
+                    other.map(|other| self.send_updates(other, own));
                 }
             }
         }
     }
 
-    fn place(&self, address: SocketAddr) -> Option<usize> {
+    fn index_of(&self, address: SocketAddr) -> Option<usize> {
         let mut gateways = self.gateways.iter();
         gateways.position(|one| one.address == address && one.is_alive)
     }
 
-    /// Sends what a gateway knows of its zone to `to`; true where it came.
-    fn tell(&mut self, index: usize, to: SocketAddr) -> bool {
+    /// Sends the updates of gateway `index` to `to`; returns true if they arrive.
+    fn send_updates(&mut self, index: usize, to: SocketAddr) -> bool {
         let now = at(self.millis);
         let liveness = self.gateways[index].exchange.liveness();
-        let (news, incarnation) = (liveness.news_for(to), liveness.incarnation());
+        let (updates, incarnation) = (liveness.news_for(to), liveness.incarnation());
         let from = self.gateways[index].address;
-        let Some(place) = self.place(to).filter(|_| self.draw() >= self.faults.lost) else {
+        let Some(receiver_index) = self
+            .index_of(to)
+            .filter(|_| self.draw() >= self.faults.lost_percent)
+        else {
             return false;
         };
-        let hearer = self.gateways[place].exchange.liveness();
-        hearer.note_alive(from, incarnation, now);
-        hearer.take(&news, now);
+        let receiver = self.gateways[receiver_index].exchange.liveness();
+        receiver.note_alive(from, incarnation, now);
+        receiver.take(&updates, now);
         true
     }
 
@@ -193,38 +201,38 @@
                 zone: gateway.zone,
                 sender: gateway.address,
                 stamp: now.as_millis(),
-                count: gateway.exchange.zone_count(&name(gateway.zone)),
-                is_passed_on: false,
+                count: gateway.exchange.zone_count(&zone_name(gateway.zone)),
+                is_forwarded: false,
             }));
         }
-        self.crossed += packets.len();
-        self.post(packets);
+        self.sent_between_zones += packets.len();
+        self.enqueue(packets);
     }
 
-    fn post(&mut self, packets: Vec<Packet>) {
-        let oldest = at(self.millis.saturating_sub(FATES_KEPT_MILLIS)).as_millis();
+    fn enqueue(&mut self, packets: Vec<Packet>) {
+        let oldest = at(self.millis.saturating_sub(FATE_RETENTION_MILLIS)).as_millis();
         self.fates.retain(|fate| fate.packet.stamp >= oldest);
         for packet in packets {
-            if self.draw() < self.faults.lost {
-                let comes = None;
-                self.fates.push(Fate { packet, comes });
+            if self.draw() < self.faults.lost_percent {
+                let arrives_at = None;
+                self.fates.push(Fate { packet, arrives_at });
                 continue;
             }
-            let late = if self.draw() < self.faults.late {
+            let delay_millis = if self.draw() < self.faults.late_percent {
                 400
             } else {
                 0
             };
-            let due = self.millis + late;
+            let due = self.millis + delay_millis;
             self.fates.push(Fate {
                 packet: packet.clone(),
-                comes: Some(due),
+                arrives_at: Some(due),
             });
             self.packets.push(Packet {
                 due,
                 ..packet.clone()
             });
-            if self.draw() < self.faults.repeated {
+            if self.draw() < self.faults.repeated_percent {
                 self.packets.push(Packet {
                     due: due + 50,
                     ..packet
@@ -237,12 +245,12 @@
         let now = at(self.millis);
         while let Some(index) = self.packets.iter().position(|one| one.due <= self.millis) {
             let packet = self.packets.swap_remove(index);
-            let hearer = self.gateways.iter_mut();
-            let hearer = hearer
+            let receiver = self.gateways.iter_mut();
+            let receiver = receiver
                 .filter(|one| one.is_alive)
                 .find(|one| one.address == packet.to);
-            let Some(hearer) = hearer else { continue };
-            let zone = name(packet.zone);
+            let Some(receiver) = receiver else { continue };
+            let zone = zone_name(packet.zone);
             let heading = Heading {
                 zone: &zone,
                 sender: packet.sender,
@@ -250,76 +258,84 @@
                 part: 0,
                 gateway_count: packet.count,
             };
-            if hearer.exchange.take(&heading, now) == Reception::Old {
+            if receiver.exchange.take(&heading, now) == Reception::Old {
                 continue;
             }
-            hearer.exchange.note_member(&zone, packet.sender, now);
-            if packet.is_passed_on {
+            receiver.exchange.note_member(&zone, packet.sender, now);
+            if packet.is_forwarded {
                 continue;
             }
-            let neighbours = hearer.exchange.neighbours();
-            let passed_on = neighbours.into_iter().map(|to| Packet {
+            let neighbours = receiver.exchange.neighbours();
+            let forwarded = neighbours.into_iter().map(|to| Packet {
                 to,
-                is_passed_on: true,
+                is_forwarded: true,
                 ..packet.clone()
             });
-            self.post(passed_on.collect());
+            self.enqueue(forwarded.collect());
         }
     }
 
-    /// Pairs of a living gateway and a zone that it does not hear.
-    fn unheard_pairs(&self) -> impl Iterator<Item = (&Gateway, usize)> {
+    /// Returns pairs of a live gateway and a zone that is silent for it.
+    fn silent_pairs(&self) -> impl Iterator<Item = (&Gateway, usize)> {
         let now = at(self.millis);
-        let living = self.gateways.iter().filter(|gateway| gateway.is_alive);
-        living
+        let alive = self.gateways.iter().filter(|gateway| gateway.is_alive);
+        alive
             .flat_map(|gateway| (0..ZONES).map(move |zone| (gateway, zone)))
             .filter(|(gateway, zone)| gateway.zone != *zone)
-            .filter(move |(gateway, zone)| !gateway.exchange.is_heard(&name(*zone), now))
+            .filter(move |(gateway, zone)| !gateway.exchange.is_heard(&zone_name(*zone), now))
     }
 
-    /// Number of [`Self::unheard_pairs`].
-    fn unheard(&self) -> usize {
-        self.unheard_pairs().count()
+    /// Counts [`Self::silent_pairs`].
+    fn count_silent(&self) -> usize {
+        self.silent_pairs().count()
     }
 
-    /// Pairs that do not hear although the network has not lost or delayed enough for that.
-    fn unexplained(&self) -> Vec<String> {
-        let pairs = self.unheard_pairs();
-        let unexplained = pairs.filter(|(gateway, zone)| !self.explains(gateway, *zone));
-        unexplained
-            .map(|(gateway, zone)| format!("{} does not hear zone {zone}", gateway.address))
+    /// Returns the silent pairs that lost or late packets don't explain.
+    fn unexplained_pairs(&self) -> Vec<String> {
+        let pairs = self.silent_pairs();
+        let unexplained_pairs =
+            pairs.filter(|(gateway, zone)| !self.is_explained_by_network(gateway, *zone));
+        unexplained_pairs
+            .map(|(gateway, zone)| format!("{} receives no digest of zone {zone}", gateway.address))
             .collect()
     }
 
-    /// True where as many digests of `zone` were made as should be, and the network kept each of them
-    /// from `gateway`.
-    fn explains(&self, gateway: &Gateway, zone: usize) -> bool {
+    /// Returns true if `zone` sent enough digests and the network delivered none of them to
+    /// `gateway`.
+    fn is_explained_by_network(&self, gateway: &Gateway, zone: usize) -> bool {
         let now = at(self.millis).as_millis();
-        let made = self.fates.iter().filter(|fate| {
+        let sent = self.fates.iter().filter(|fate| {
             let packet = &fate.packet;
-            !packet.is_passed_on
+            !packet.is_forwarded
                 && packet.zone == zone
                 && self.zone_of(packet.to) == Some(gateway.zone)
-                && now - packet.stamp < HEARD_MILLIS
+                && now - packet.stamp < ZONE_TIMEOUT_MILLIS
         });
-        let made: Vec<&Fate> = made.collect();
-        made.len() >= MADE && made.into_iter().all(|fate| self.kept_from(gateway, fate))
+        let sent: Vec<&Fate> = sent.collect();
+        sent.len() >= EXPECTED_DIGESTS
+            && sent
+                .into_iter()
+                .all(|fate| self.was_not_delivered(gateway, fate))
     }
 
-    /// True where the network lost a digest on its way to `gateway`, or it has not come yet.
-    fn kept_from(&self, gateway: &Gateway, crossing: &Fate) -> bool {
-        let is_missing = |fate: &Fate| fate.comes.is_none_or(|comes| comes > self.millis);
+    /// Returns true if the network lost a digest on its path to `gateway`, or it hasn't arrived
+    /// yet.
+    fn was_not_delivered(&self, gateway: &Gateway, crossing: &Fate) -> bool {
+        let is_missing = |fate: &Fate| {
+            fate.arrives_at
+                .is_none_or(|arrives_at| arrives_at > self.millis)
+        };
         if is_missing(crossing) || crossing.packet.to == gateway.address {
             return is_missing(crossing);
         }
-        let passed_on = self.fates.iter().find(|fate| {
-            let (packet, made) = (&fate.packet, &crossing.packet);
-            packet.is_passed_on
+        let forwarded = self.fates.iter().find(|fate| {
+            let (packet, sent) = (&fate.packet, &crossing.packet);
+            packet.is_forwarded
                 && packet.to == gateway.address
-                && (packet.sender, packet.stamp) == (made.sender, made.stamp)
+                && (packet.sender, packet.stamp) == (sent.sender, sent.stamp)
         });
-        // A digest that came and was not passed on is not the network's fault.
-        passed_on.is_some_and(is_missing)
+        // A digest that arrived and wasn't forwarded is not the network's fault.
+        forwarded.is_some_and(is_missing)
     }
 
     fn zone_of(&self, address: SocketAddr) -> Option<usize> {
@@ -328,64 +344,68 @@
         gateway.map(|gateway| gateway.zone)
     }
 
-    /// Runs, and looks at each tick for gateways that do not hear without reason.
-    fn run_explained(&mut self, millis: u64) -> Result<(), String> {
+    /// Runs, and checks each tick for silent zones without an explanation.
+    fn run_checked(&mut self, millis: u64) -> Result<(), String> {
         for _ in 0..millis / TICK_MILLIS {
             self.run(TICK_MILLIS);
-            let unexplained = self.unexplained();
-            if !unexplained.is_empty() {
-                return Err(format!("at {} ms: {unexplained:?}", self.millis));
+            let unexplained_pairs = self.unexplained_pairs();
+            if !unexplained_pairs.is_empty() {
+                return Err(format!("at {} ms: {unexplained_pairs:?}", self.millis));
             }
         }
         Ok(())
     }
 }
 
-/// Packets that cross from one zone to another in ten seconds, once all is settled.
-fn crossings(gateways_a_zone: usize) -> usize {
-    let mut network = Network::new(gateways_a_zone, Faults::default());
+/// Returns the packets between zones in ten seconds of steady state.
+fn count_packets_between_zones(gateways_per_zone: usize) -> usize {
+    let mut network = Network::new(gateways_per_zone, Faults::default());
     network.run(4_000);
-    network.crossed = 0;
+    network.sent_between_zones = 0;
     network.run(10_000);
-    assert_eq!(network.unheard(), 0, "all zones are heard everywhere");
-    network.crossed
+    assert_eq!(
+        network.count_silent(),
+        0,
+        "digests of all zones arrive everywhere"
+    );
+    network.sent_between_zones
 }
 
 #[test]
-fn what_crosses_between_zones_does_not_grow_with_the_gateways() {
+fn traffic_between_zones_does_not_grow_with_gateways() {
     let pairs = ZONES * (ZONES - 1);
-    let most = pairs * DIGEST_SENDERS * 10_000 / 500;
+    let max_packets = pairs * DIGEST_SENDERS * 10_000 / 500;
     for count in [6, 10, 40] {
-        let crossed = crossings(count);
+        let sent_between_zones = count_packets_between_zones(count);
         assert!(
-            crossed <= most,
-            "{crossed} packets, {count} gateways a zone"
+            sent_between_zones <= max_packets,
+            "{sent_between_zones} packets, {count} gateways per zone"
         );
     }
 }
 
 #[test]
-fn zones_are_heard_again_after_their_senders_and_receivers_died() {
+fn digests_arrive_again_after_senders_and_receivers_died() {
     let mut network = Network::new(8, Faults::default());
     network.run(4_000);
-    assert_eq!(network.unheard(), 0);
+    assert_eq!(network.count_silent(), 0);
     for zone in 0..ZONES {
         let mut members: Vec<usize> = (0..network.gateways.len())
             .filter(|index| network.gateways[*index].zone == zone)
             .collect();
         members
             .sort_by_key(|index| std::cmp::Reverse(order::hash(&network.gateways[*index].address)));
-        // Those that send and receive.
+        // Senders and receivers.
         for index in &members[..2] {
             network.gateways[*index].is_alive = false;
         }
     }
     network.run(4_500);
-    assert_eq!(network.unheard(), 0);
+    assert_eq!(network.count_silent(), 0);
 }
 
 #[test]
-fn a_zone_without_gateways_is_asked_for_more_and_more_of_its_engines() {
+fn the_sample_of_a_silent_zone_grows() {
     let mut network = Network::new(7, Faults::default());
     network.run(3_000);
     for gateway in network.gateways.iter_mut().filter(|one| one.zone == 2) {
@@ -393,7 +413,7 @@
     }
     let sample = |network: &Network| {
         let now = at(network.millis);
-        network.gateways[0].exchange.sample(&name(2), now)
+        network.gateways[0].exchange.sample(&zone_name(2), now)
     };
     assert_eq!(sample(&network), 0);
     let mut samples = Vec::new();
@@ -402,13 +422,13 @@
         samples.push(sample(&network));
     }
     assert!(samples.is_sorted(), "{samples:?}");
-    assert!(samples[1] > 0, "asked within two seconds: {samples:?}");
+    assert!(samples[1] > 0, "polled within two seconds: {samples:?}");
     assert_eq!(samples.last(), Some(&16));
 }
 
 #[test]
-fn a_sender_that_starts_anew_is_heard_although_its_clock_does() {
-    let zones = names();
+fn a_restarted_sender_with_lower_stamps_is_accepted() {
+    let zones = zone_names();
     let own = address(0, 0);
     let mut exchange = Exchange::new(own, "zone-0", zones.iter().map(String::as_str), at(0));
     let heading = |stamp: u64| Heading {
@@ -425,34 +445,37 @@
 }
 
 #[test]
-fn where_there_are_few_gateways_all_engines_are_asked_and_no_digests_are_sent() {
+fn few_gateways_poll_all_engines_and_send_no_digests() {
     let mut network = Network::new(5, Faults::default());
     network.run(3_000);
     let now = at(network.millis);
     for gateway in &network.gateways {
-        let other = name((gateway.zone + 1) % ZONES);
+        let other = zone_name((gateway.zone + 1) % ZONES);
         assert!(gateway.exchange.is_direct(now));
         assert_eq!(gateway.exchange.sample(&other, now), usize::MAX);
     }
-    network.crossed = 0;
+    network.sent_between_zones = 0;
     network.run(5_000);
-    assert_eq!(network.crossed, 0);
+    assert_eq!(network.sent_between_zones, 0);
 }
 
 #[test]
-fn nobody_asks_all_engines_before_the_gateways_were_counted() {
-    let zones = names();
+fn direct_polling_waits_until_gateways_are_counted() {
+    let zones = zone_names();
     let own = address(0, 0);
     let mut exchange = Exchange::new(own, "zone-0", zones.iter().map(String::as_str), at(0));
-    assert!(!exchange.is_direct(at(60_000)), "nobody was named yet");
+    assert!(
+        !exchange.is_direct(at(60_000)),
+        "no gateway was mentioned yet"
+    );
     exchange.note_member("zone-0", address(0, 1), at(60_000));
     assert!(!exchange.is_direct(at(60_500)));
     assert!(exchange.is_direct(at(61_000)));
 }
 
 #[test]
-fn shares_count_the_gateways_of_zones_that_were_not_heard_yet() {
-    let zones = names();
+fn zones_without_a_digest_count_as_large_as_the_own_one() {
+    let zones = zone_names();
     let own = address(0, 0);
     let mut exchange = Exchange::new(own, "zone-0", zones.iter().map(String::as_str), at(0));
     for number in 0..4 {
@@ -475,47 +498,47 @@
 }
 
 #[test]
-fn zones_are_heard_unless_lost_digests_explain_it_where_a_quarter_is_lost() {
+fn zones_are_silent_only_if_lost_digests_explain_it() {
     let faults = Faults {
-        lost: 26,
-        late: 44,
-        repeated: 21,
+        lost_percent: 26,
+        late_percent: 44,
+        repeated_percent: 21,
     };
     let mut network = Network::new(12, faults);
     network.run(5_000);
-    let explained = network.run_explained(1_500);
-    assert_eq!(explained, Ok(()));
+    let result = network.run_checked(1_500);
+    assert_eq!(result, Ok(()));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
     #[test]
-    fn zones_are_heard_in_any_weather(lost in 0_u64..30, late in 0_u64..50, repeated in 0_u64..50, gateways in 6_usize..14) {
-        let mut network = Network::new(gateways, Faults { lost, late, repeated });
+    fn silent_zones_are_explained_by_any_faults(lost_percent in 0_u64..30, late_percent in 0_u64..50, repeated_percent in 0_u64..50, gateways in 6_usize..14) {
+        let mut network = Network::new(gateways, Faults { lost_percent, late_percent, repeated_percent });
         network.run(5_000);
-        let explained = network.run_explained(1_500);
-        prop_assert!(explained.is_ok(), "{explained:?}");
+        let result = network.run_checked(1_500);
+        prop_assert!(result.is_ok(), "{result:?}");
     }
 
     #[test]
-    fn zones_are_heard_at_most_looks_where_less_is_lost(lost in 0_u64..LESS_LOST, late in 0_u64..50, repeated in 0_u64..50, gateways in 6_usize..14) {
-        let mut network = Network::new(gateways, Faults { lost, late, repeated });
+    fn zones_are_rarely_silent_with_moderate_loss(lost_percent in 0_u64..MODERATE_LOSS_PERCENT, late_percent in 0_u64..50, repeated_percent in 0_u64..50, gateways in 6_usize..14) {
+        let mut network = Network::new(gateways, Faults { lost_percent, late_percent, repeated_percent });
         network.run(5_000);
-        // One look may fall into a gap that lost digests leave; not three in a row.
-        let unheard = (0..3).map(|_| { network.run(500); network.unheard() }).min();
-        prop_assert!(unheard.is_some_and(|unheard| unheard <= 1), "{unheard:?} unheard");
+        // One check may fall into a gap left by lost digests; three in a row may not.
+        let min_silent = (0..3).map(|_| { network.run(500); network.count_silent() }).min();
+        prop_assert!(min_silent.is_some_and(|silent| silent <= 1), "{min_silent:?} silent");
     }
 
     #[test]
-    fn a_repeated_or_older_digest_is_never_news(stamps in prop::collection::vec(0_u64..50, 1..60)) {
-        let zones = names();
+    fn repeated_or_older_digests_are_rejected(stamps in prop::collection::vec(0_u64..50, 1..60)) {
+        let zones = zone_names();
         let mut exchange = Exchange::new(address(0, 0), "zone-0", zones.iter().map(String::as_str), at(0));
         let mut newest = None;
         for (index, stamp) in stamps.into_iter().enumerate() {
             let heading = Heading { zone: "zone-1", sender: address(1, 0), stamp, part: 0, gateway_count: 1 };
-            let taken = exchange.take(&heading, at(index as u64));
-            prop_assert_eq!(taken == Reception::News, Some(stamp) > newest);
+            let acceptance = exchange.take(&heading, at(index as u64));
+            prop_assert_eq!(acceptance == Reception::News, Some(stamp) > newest);
             newest = newest.max(Some(stamp));
         }
     }
