--- a/crates/gingerpier_serving/src/asking.rs
+++ b/crates/gingerpier_serving/src/asking.rs
@@ -13,7 +13,7 @@
 };
 
 /// Gateways of the own zone from which on a loader relies on them for releases.
-pub const MANY_GATEWAYS: usize = 3;
+pub const MIN_RELEASE_GATEWAYS: usize = 3;
 
 /// Milliseconds without a gateway, or with few, before the first loader reads the store; gateways
 /// need about that long to start and to discover loaders.
@@ -184,7 +184,10 @@
         let from =
             |lacks: bool, known: Option<Instant>| lacks.then(|| known.unwrap_or(store_start));
         self.store_allowed_at = from(heard.gateways.is_empty(), self.store_allowed_at);
-        self.watch_allowed_at = from(heard.near_count < MANY_GATEWAYS, self.watch_allowed_at);
+        self.watch_allowed_at = from(
+            heard.near_count < MIN_RELEASE_GATEWAYS,
+            self.watch_allowed_at,
+        );
     }
 
     /// Returns when this loader may read the store if it lacks gateways from `now` on.
--- a/crates/gingerpier_serving/src/suspects.rs
+++ b/crates/gingerpier_serving/src/suspects.rs
@@ -43,11 +43,11 @@
 
 /// Attributed crashes from which on a request is held back; with three, unlucky innocent requests
 /// were held back too.
-pub const HELD_FROM: usize = 4;
+pub const HOLD_MIN_CRASHES: usize = 4;
 
 /// Unrefuted crashes from which on a request is held back even where other requests explain them;
 /// otherwise requests that crash engines at the same time would exonerate each other.
-pub const HELD_ANYWAY: usize = 5;
+pub const UNCONDITIONAL_HOLD_MIN_CRASHES: usize = 5;
 
 /// Unrefuted crashes from which on a request is a suspect and its case is replicated to all
 /// gateways.
@@ -286,7 +286,7 @@
         let may_be_held = |case: &&Case| {
             case.unrefuted_crashes()
                 .filter(is_settled)
-                .nth(HELD_FROM - 1)
+                .nth(HOLD_MIN_CRASHES - 1)
                 .is_some()
         };
         let mut requests_by_engine: BTreeMap<Incarnation, Vec<Mark>> = BTreeMap::new();
@@ -330,8 +330,13 @@
         for (.., mark) in candidates {
             let case = &self.cases[&mark];
             let has_enough_crashes =
-                self.attributed_crash_count(case, &explained_engines, now) >= HELD_FROM;
-            if has_enough_crashes || case.unrefuted_crashes().nth(HELD_ANYWAY - 1).is_some() {
+                self.attributed_crash_count(case, &explained_engines, now) >= HOLD_MIN_CRASHES;
+            if has_enough_crashes
+                || case
+                    .unrefuted_crashes()
+                    .nth(UNCONDITIONAL_HOLD_MIN_CRASHES - 1)
+                    .is_some()
+            {
                 explained_engines.extend(case.unrefuted_crashes().map(|end| end.engine));
                 held.insert(mark);
             }
@@ -422,7 +427,7 @@
     /// requests.
     fn schedule_evaluation(&mut self, mark: Mark) {
         let case = self.cases.get(&mark);
-        if case.is_none_or(|case| case.unrefuted_crashes().nth(HELD_FROM - 1).is_none()) {
+        if case.is_none_or(|case| case.unrefuted_crashes().nth(HOLD_MIN_CRASHES - 1).is_none()) {
             self.held.remove(&mark);
         }
         self.next_evaluation = Some(Instant::default());
--- a/crates/gingerpier_serving/src/trials.rs
+++ b/crates/gingerpier_serving/src/trials.rs
@@ -17,7 +17,7 @@
 
 /// Milliseconds after which a trial without an end message counts as over, as its gateway may have
 /// died.
-pub const TRIAL_MILLIS: u64 = 3_000;
+pub const TRIAL_TIMEOUT_MILLIS: u64 = 3_000;
 
 /// Trials kept; a request beyond them runs without one.
 const MAX_TRIALS: usize = 512;
@@ -47,7 +47,7 @@
 
 impl AnnouncedTrial {
     const fn has_timed_out(&self, now: Instant) -> bool {
-        now.millis_since(self.announced_at) >= TRIAL_MILLIS
+        now.millis_since(self.announced_at) >= TRIAL_TIMEOUT_MILLIS
     }
 
     /// Returns true once a conflicting announcement would have arrived; from then on this trial
--- a/crates/gingerpier_serving/tests/asking.rs
+++ b/crates/gingerpier_serving/tests/asking.rs
@@ -2,7 +2,7 @@
 
 use {
     gingerpier_base::Instant,
-    gingerpier_serving::asking::{Asking, Heard, Knowledge, MANY_GATEWAYS, Source, Step},
+    gingerpier_serving::asking::{Asking, Heard, Knowledge, MIN_RELEASE_GATEWAYS, Source, Step},
     proptest::prelude::*,
     std::net::SocketAddr,
 };
@@ -92,7 +92,7 @@
         let heard = heard(&zone_gateways, Knowledge::Enough);
         let step_at_10_s = |asking: &mut Asking| asking.next(&heard, at(10_000));
         assert!(matches!(asking.next(&heard, at(0)), Step::Wait(_)));
-        match count < MANY_GATEWAYS {
+        match count < MIN_RELEASE_GATEWAYS {
             true => assert_eq!(step_at_10_s(&mut asking), Step::Weights),
             false => assert!(matches!(step_at_10_s(&mut asking), Step::Wait(_))),
         }
@@ -202,7 +202,7 @@
                         asking.note_answer(Source::Gateway);
                     }
                     Step::Store => prop_assert!(false, "read the store at {}", now),
-                    Step::Weights => prop_assert!(count < MANY_GATEWAYS),
+                    Step::Weights => prop_assert!(count < MIN_RELEASE_GATEWAYS),
                     Step::Wait(_) => {}
                 }
                 now += STEP_MILLIS;
--- a/crates/gingerpier_serving/tests/suspects/main.rs
+++ b/crates/gingerpier_serving/tests/suspects/main.rs
@@ -17,7 +17,7 @@
         mark::{Mark, Subject},
         report::Version,
         suspects::{End, Incarnation, Noted, Standing, Suspects},
-        trials::{SETTLE_MILLIS, TRIAL_MILLIS, Trial, Trials},
+        trials::{SETTLE_MILLIS, TRIAL_TIMEOUT_MILLIS, Trial, Trials},
     },
     model::{Disabled, Outcome, Policy, Scenario, simulate},
     std::net::SocketAddr,
@@ -343,7 +343,7 @@
     );
     assert!(trials.is_on_trial(mark(1), at(30)));
     assert!(
-        !trials.is_on_trial(mark(1), at(TRIAL_MILLIS)),
+        !trials.is_on_trial(mark(1), at(TRIAL_TIMEOUT_MILLIS)),
         "the trial timed out"
     );
 }
--- a/crates/gingerpier_serving/tests/suspects/model.rs
+++ b/crates/gingerpier_serving/tests/suspects/model.rs
@@ -6,7 +6,8 @@
         mark::Mark,
         report::Version,
         suspects::{
-            Case, End, HELD_FROM, Incarnation, JUDGED_AFTER_MILLIS, Noted, Standing, Suspects,
+            Case, End, HOLD_MIN_CRASHES, Incarnation, JUDGED_AFTER_MILLIS, Noted, Standing,
+            Suspects,
         },
         trials::{SETTLE_MILLIS, Trial, Trials},
     },
@@ -325,7 +326,7 @@
                 let share = (gateway.crashed / gateway.runs).clamp(0.001, 0.9);
                 share.powi(ends as i32) < 1e-6
             }
-            _ => ends >= HELD_FROM,
+            _ => ends >= HOLD_MIN_CRASHES,
         };
         match (is_cleared, is_held) {
             (true, _) => Standing::Clear,
--- a/crates/gingerpier_serving/tests/unnamed.rs
+++ b/crates/gingerpier_serving/tests/unnamed.rs
@@ -6,7 +6,7 @@
 //! request, unless they fetch something newer, and report known versions to the loaders of their
 //! zone.
 //!
-//! Without each of the rules in [`Without`] the simulation must fail.
+//! With any of the rules in [`Disabled`] disabled, the simulation must fail.
 
 use {
     gingerpier_base::Instant,
@@ -45,7 +45,7 @@
 
 /// A rule that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Without {
+enum Disabled {
     Nothing,
     /// Gateways never ask the origin.
     Search,
@@ -80,7 +80,7 @@
 
 struct Simulation {
     now: u64,
-    without: Without,
+    disabled: Disabled,
     draws: u64,
     named: Option<Version>,
     origin: Version,
@@ -93,10 +93,10 @@
 }
 
 impl Simulation {
-    fn new(seed: u64, without: Without) -> Self {
+    fn new(seed: u64, disabled: Disabled) -> Self {
         let mut simulation = Self {
             now: 0,
-            without,
+            disabled,
             draws: seed,
             named: None,
             origin: Version(1),
@@ -126,9 +126,9 @@
     }
 
     fn wipe(&mut self) {
-        let wipe_probability = 1 + self.draw(4);
+        let wipe_share = 1 + self.draw(4);
         for index in 0..GATEWAYS {
-            if self.draw(4) < wipe_probability {
+            if self.draw(4) < wipe_share {
                 self.gateways[index] = Gateway {
                     up_at: self.now + START_MILLIS + self.draw(400),
                     ..Gateway::default()
@@ -136,13 +136,13 @@
             }
         }
         for index in 0..LOADERS {
-            if self.draw(4) < wipe_probability {
+            if self.draw(4) < wipe_share {
                 self.loaders[index] = Loader {
                     up_at: self.now + START_MILLIS + self.draw(400),
                     ..Loader::default()
                 };
             }
-            if self.draw(4) < wipe_probability {
+            if self.draw(4) < wipe_share {
                 self.engines[index] = None;
             }
         }
@@ -165,8 +165,8 @@
             found: own.found,
             held: held.max(self.stale_version),
         };
-        match self.without {
-            Without::OriginPrecedence if own.named.is_none() => Known {
+        match self.disabled {
+            Disabled::OriginPrecedence if own.named.is_none() => Known {
                 found: known.held.or(known.found),
                 ..known
             },
@@ -198,7 +198,7 @@
         let draw = self.draw(u64::MAX);
         let (origin, is_origin_available) = (self.origin, self.has_version(self.origin));
         let own = &mut self.gateways[index];
-        if self.without != Without::Search && own.search.is_due(&seen, now) {
+        if self.disabled != Disabled::Search && own.search.is_due(&seen, now) {
             match is_origin_available {
                 true => {
                     own.search.note_found(now);
@@ -207,7 +207,7 @@
                 false => own.search.note_failure(now, draw),
             }
         }
-        if self.without != Without::DropUnavailable {
+        if self.disabled != Disabled::DropUnavailable {
             own.fetched
                 .retain(|(version, chunks)| *chunks > 0 || known.may_be_had(*version));
         }
@@ -348,26 +348,26 @@
 
     #[test]
     fn every_engine_has_weights_again_after_any_loss_of_memory(seed in any::<u64>()) {
-        prop_assert!(Simulation::new(seed, Without::Nothing).run());
+        prop_assert!(Simulation::new(seed, Disabled::Nothing).run());
     }
 }
 
 #[test]
 fn each_rule_is_needed() {
-    for without in [
-        Without::Search,
-        Without::OriginPrecedence,
-        Without::DropUnavailable,
+    for disabled in [
+        Disabled::Search,
+        Disabled::OriginPrecedence,
+        Disabled::DropUnavailable,
     ] {
-        let failures = (0..2_000).filter(|seed| !Simulation::new(*seed, without).run());
-        assert!(failures.count() > 0, "{without:?}");
+        let failures = (0..2_000).filter(|seed| !Simulation::new(*seed, disabled).run());
+        assert!(failures.count() > 0, "{disabled:?}");
     }
 }
 
 /// All memory is lost at once, without a release or a listed version.
 #[test]
 fn one_gateway_per_zone_asks_the_origin_after_total_loss() {
-    let mut simulation = Simulation::new(1, Without::Nothing);
+    let mut simulation = Simulation::new(1, Disabled::Nothing);
     simulation.stale_version = None;
     simulation.engines = vec![None; LOADERS];
     let origin_reads = |simulation: &Simulation| {
