--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows, shared by its tasks on one thread.
+//! State of a gateway, shared by its tasks on one thread.
 
 mod contact;
 mod engines;
@@ -7,7 +7,7 @@
 mod unnamed;
 mod work;
 
-pub use {unnamed::models, work::Work};
+pub use {unnamed::models, work::TrafficClass};
 
 use {
     crate::{
@@ -16,7 +16,7 @@
         metrics::Metrics,
         pool::Pool,
         snapshots::Snapshots,
-        suspects::Knowledge,
+        suspects::SuspectState,
         weights::{Carrier, GatewayPlace},
     },
     gingerpier_base::Instant,
@@ -45,73 +45,75 @@
     tokio::sync::Notify,
 };
 
-/// What a gateway knows.
+/// State of a gateway.
 pub struct State {
-    /// Settings.
+    /// Settings from the settings file.
     pub settings: Settings,
-    /// Words of the platform.
+    /// Protocol of the deployment platform.
     pub dialect: &'static dyn Dialect,
-    /// Reader of the store's items.
+    /// Parser of the store's items.
     pub items: Reader,
-    /// Store as far as known.
+    /// Local copy of the store.
     pub mirror: RefCell<Mirror>,
-    /// Engines.
+    /// Known engines and their load.
     pub fleet: RefCell<Fleet>,
-    /// Retries.
-    pub budget: RefCell<HashMap<String, Budget>>,
-    /// Connections to engines.
+    /// Retry budgets by service.
+    pub retry_budgets: RefCell<HashMap<String, Budget>>,
+    /// Idle connections to engines.
     pub pool: RefCell<Pool<EngineKey>>,
-    /// Metrics.
+    /// Metrics of this process.
     pub metrics: Metrics,
-    /// Gateways of all zones, and what they tell each other.
+    /// Membership of the gateways and exchange of digests between zones.
     pub zones: RefCell<Exchange>,
-    /// Tells those who wait that the mirror has changed.
+    /// Notified when the mirror changes.
     pub news: Notify,
-    /// Tells that operators named weights.
-    pub naming: Notify,
-    /// Machines of engines of the own zone, for a gateway that knows no configuration yet.
+    /// Notified when a known version of weights changes.
+    pub release_changed: Notify,
+    /// Engine machines of the own zone, known before a configuration is loaded.
     pub first_loaders: RefCell<BTreeSet<IpAddr>>,
-    /// Snapshots that are told to other gateways.
+    /// Encoded store snapshots for other gateways.
     pub snapshots: Snapshots,
-    /// Requests that ended engines.
-    pub knowledge: Knowledge,
-    /// Weights that this gateway carries.
+    /// Requests that are suspected of crashing engines.
+    pub suspect_state: SuspectState,
+    /// Distribution of weights through this gateway.
     pub carrier: Rc<Carrier>,
-    /// True once the process is to stop.
+    /// True once a termination signal arrived.
     pub is_stopping: Cell<bool>,
-    /// True once a stopping process takes no more requests.
-    pub has_left: Cell<bool>,
-    /// Tells connections at rest that no more requests are taken.
-    pub leaving: Notify,
-    /// Requests under way.
-    pub active: Cell<u32>,
+    /// True once the stopping gateway refuses new requests.
+    pub is_closed: Cell<bool>,
+    /// Notified when the stopping gateway starts to refuse new requests, which closes idle
+    /// connections.
+    pub closing: Notify,
+    /// Number of requests in progress.
+    pub active_requests: Cell<u32>,
     configuration: RefCell<Option<Rc<Configuration>>>,
     arrivals: RefCell<HashMap<String, Arrivals>>,
-    returns: RefCell<Returns>,
-    sizes: RefCell<Sizes>,
-    precedence: RefCell<work::Shortage>,
+    return_detector: RefCell<Returns>,
+    prompt_sizes: RefCell<Sizes>,
+    shedding: RefCell<work::SheddingTable>,
     regions: Regions,
-    namings: RefCell<HashMap<String, Namings>>,
-    /// Newest version of each model that the origin was found to have.
-    found: RefCell<HashMap<String, Version>>,
-    contact: Cell<Option<Instant>>,
-    fresh: Cell<Freshness>,
+    releases: RefCell<HashMap<String, Namings>>,
+    /// Version that the origin offers, by model.
+    origin_versions: RefCell<HashMap<String, Version>>,
+    last_contact: Cell<Option<Instant>>,
+    freshness: Cell<Freshness>,
     outage: Cell<Outage>,
-    /// When bytes of an answer of the store came last: a large one takes a second or more.
-    pub store_heard: Rc<Cell<Option<Instant>>>,
+    /// When bytes of a store response last arrived, as a large response takes seconds.
+    pub store_received_at: Rc<Cell<Option<Instant>>>,
     started: Instant,
-    /// When the process was last seen to run, and from when on it has run without a standstill.
-    ran_at: Cell<Instant>,
+    /// When the last tick was recorded.
+    last_tick: Cell<Instant>,
     running_since: Cell<Instant>,
 }
 
 impl State {
-    /// State of a process that starts now.
+    /// Creates the state of a process that starts now.
     pub fn new(settings: Settings, dialect: &'static dyn Dialect) -> Self {
         let started = clock::now();
         let regions = settings.regions.iter();
-        let regions = Regions::new(regions.map(|one| (one.zone.as_str(), one.region.as_str())));
-        let zones = settings.regions.iter().map(|one| one.zone.as_str());
+        let regions =
+            Regions::new(regions.map(|entry| (entry.zone.as_str(), entry.region.as_str())));
+        let zones = settings.regions.iter().map(|entry| entry.zone.as_str());
         let zones = Exchange::new(settings.peers, &settings.zone, zones, started)
             .in_incarnation(clock::stamp().as_unix_millis());
         Self {
@@ -120,66 +122,67 @@
             items: Reader::new(dialect),
             mirror: RefCell::default(),
             fleet: RefCell::new(Fleet::of(regions.clone())),
-            budget: RefCell::default(),
+            retry_budgets: RefCell::default(),
             pool: RefCell::default(),
             metrics: Metrics::default(),
             zones: RefCell::new(zones),
             news: Notify::new(),
-            naming: Notify::new(),
+            release_changed: Notify::new(),
             first_loaders: RefCell::default(),
             snapshots: Snapshots::default(),
-            knowledge: Knowledge::default(),
+            suspect_state: SuspectState::default(),
             carrier: Rc::new(Carrier::new(dialect)),
             is_stopping: Cell::new(false),
-            has_left: Cell::new(false),
-            leaving: Notify::new(),
-            active: Cell::new(0),
+            is_closed: Cell::new(false),
+            closing: Notify::new(),
+            active_requests: Cell::new(0),
             configuration: RefCell::default(),
             arrivals: RefCell::default(),
-            returns: RefCell::new(Returns::new(started)),
-            sizes: RefCell::default(),
-            precedence: RefCell::default(),
+            return_detector: RefCell::new(Returns::new(started)),
+            prompt_sizes: RefCell::default(),
+            shedding: RefCell::default(),
             regions,
-            namings: RefCell::default(),
-            found: RefCell::default(),
-            contact: Cell::new(None),
-            fresh: Cell::default(),
+            releases: RefCell::default(),
+            origin_versions: RefCell::default(),
+            last_contact: Cell::new(None),
+            freshness: Cell::default(),
             outage: Cell::default(),
-            store_heard: Rc::default(),
+            store_received_at: Rc::default(),
             started,
-            ran_at: Cell::new(started),
+            last_tick: Cell::new(started),
             running_since: Cell::new(started),
         }
     }
 
-    /// Configuration in force.
+    /// Configuration in force; `None` until one is loaded.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// When this process started.
+    /// Start time of this process.
     pub const fn started(&self) -> Instant {
         self.started
     }
 
-    /// True where new connections are welcome.
+    /// True if the gateway is ready for new connections.
     pub fn is_ready(&self) -> bool {
-        let knows = self.configuration.borrow().is_some();
-        knows && !self.is_stopping.get()
+        let is_configured = self.configuration.borrow().is_some();
+        is_configured && !self.is_stopping.get()
     }
 
-    /// Takes changes of the store up to `at`, as another gateway tells them.
+    /// Applies changes up to revision `at` from another gateway; keys may have been deleted and
+    /// written again in between.
     pub fn apply(&self, changes: Changes, at: Revision) {
         let changes = self.slim(changes);
-        let news = self.mirror.borrow_mut().apply(changes, at);
-        self.take(news, |item| Absence::Event(item.revision));
+        let changes = self.mirror.borrow_mut().apply(changes, at);
+        self.handle_changes(changes, |item| Absence::Event(item.revision));
     }
 
-    /// Takes all writes up to `at`, as a watch of the store brings them.
+    /// Applies all writes up to revision `at` from a watch of the store.
     pub fn apply_writes(&self, writes: Changes, at: Revision) {
         let writes = self.slim(writes);
-        let news = self.mirror.borrow_mut().apply_writes(writes, at);
-        self.take(news, |item| Absence::Event(item.revision));
+        let changes = self.mirror.borrow_mut().apply_writes(writes, at);
+        self.handle_changes(changes, |item| Absence::Event(item.revision));
     }
 
     fn slim(&self, items: Changes) -> Changes {
@@ -187,17 +190,17 @@
         items.map(|item| slim(self.dialect, item)).collect()
     }
 
-    /// Takes a whole copy of the store as of `at`.
+    /// Replaces the mirror with a full copy of the store at revision `at`.
     pub fn replace(&self, items: Vec<Item>, at: Revision) {
-        let news = self.mirror.borrow_mut().replace(items, at);
-        self.take(news, |_| Absence::Listed);
+        let changes = self.mirror.borrow_mut().replace(items, at);
+        self.handle_changes(changes, |_| Absence::Listed);
     }
 
-    fn take(&self, news: Changes, absence: impl Fn(&Item) -> Absence) {
-        for item in news {
+    fn handle_changes(&self, changes: Changes, deletion: impl Fn(&Item) -> Absence) {
+        for item in changes {
             match item.value {
-                Some(_) => self.take_item(&item),
-                None => self.take_absence(&item, absence(&item)),
+                Some(_) => self.handle_item(&item),
+                None => self.handle_deletion(&item, deletion(&item)),
             }
         }
         let at = self.mirror.borrow().at();
@@ -205,28 +208,28 @@
         self.news.notify_waiters();
     }
 
-    fn take_item(&self, item: &Item) {
+    fn handle_item(&self, item: &Item) {
         match self.items.read(item) {
-            Some(Fact::Configuration(configuration)) => self.configure(*configuration),
-            Some(Fact::Engine(record)) => self.list(*record, item.revision),
-            Some(Fact::Weights(named)) => self.note_named(&named),
-            Some(Fact::Evacuation(zone)) => self.evacuate(&zone, true, item.revision),
+            Some(Fact::Configuration(configuration)) => self.apply_configuration(*configuration),
+            Some(Fact::Engine(record)) => self.list_engine(*record, item.revision),
+            Some(Fact::Weights(release)) => self.record_release(&release),
+            Some(Fact::Evacuation(zone)) => self.set_evacuated(&zone, true, item.revision),
             Some(Fact::Other) => {}
-            None => self.list_nothing(item),
+            None => self.unlist_unreadable(item),
         }
     }
 
-    fn configure(&self, mut configuration: Configuration) {
+    fn apply_configuration(&self, mut configuration: Configuration) {
         let mut current = self.configuration.borrow_mut();
         let old = current.as_ref().map(|current| current.version);
-        // A configuration without a version is as new as the revision that brought it here.
+        // A configuration without a version number is newer than any before it.
         let is_numbered = configuration.version > 0;
         if is_numbered && old.is_some_and(|old| old >= configuration.version) {
             return;
         }
         tracing::info!(version = configuration.version, ?old, "configuration taken");
         configuration.locate(&self.regions);
-        self.tell_unknown_regions(&configuration);
+        self.log_unknown_regions(&configuration);
         self.metrics.configuration.set(configuration.version as i64);
         let services = configuration.services().iter();
         let names = services.map(|service| service.name.clone());
@@ -234,67 +237,78 @@
         *current = Some(Rc::new(configuration));
     }
 
-    /// Notes a request of `work` that is sent for the first time.
-    /// Its caller could `wait` so many milliseconds behind others, where that is known.
-    pub fn note_request(&self, work: Work<'_>, visit: Visit, wait: Option<f64>, now: Instant) {
-        self.note_fate(work, visit, (false, wait), now);
-        let service = work.service;
+    /// Records the first attempt of a request for arrival rates, retry budgets and load shedding.
+    ///
+    /// `slack_millis` is the time that the request could queue and still meet its target; `None` if
+    /// unknown.
+    pub fn record_request(
+        &self,
+        traffic_class: TrafficClass<'_>,
+        visit: Visit,
+        slack_millis: Option<f64>,
+        now: Instant,
+    ) {
+        self.record_admission(traffic_class, visit, (false, slack_millis), now);
+        let service = traffic_class.service;
         let mut arrivals = self.arrivals.borrow_mut();
         match arrivals.get_mut(service) {
-            Some(known) => known.note(now),
+            Some(service_arrivals) => service_arrivals.note(now),
             None => arrivals.entry(service.to_owned()).or_default().note(now),
         }
         self.with_budget(service, |budget| budget.note_request(now));
     }
 
-    /// Takes a request of `route` whose caller says that it will wait `wait` milliseconds; tells whether it was
-    /// refused before.
-    pub fn note_visit(&self, route: &str, wait: Option<u64>, now: Instant) -> Visit {
-        self.returns.borrow_mut().take(route, wait, now)
+    /// Records a request of `route`, whose caller waits `timeout_millis`; returns whether the
+    /// caller was refused before.
+    pub fn record_visit(&self, route: &str, timeout_millis: Option<u64>, now: Instant) -> Visit {
+        self.return_detector
+            .borrow_mut()
+            .take(route, timeout_millis, now)
     }
 
-    /// Notes the prompt of a request of `route`; tells how large it is among those.
-    pub fn note_size(&self, route: &str, prompt_tokens: u64) -> Option<Band> {
-        let mut sizes = self.sizes.borrow_mut();
-        // Neither the routes nor the counters by route may grow for as long as configurations come.
+    /// Records the prompt length of a request of `route`; returns its size class among them.
+    pub fn record_prompt_size(&self, route: &str, prompt_tokens: u64) -> Option<Band> {
+        let mut sizes = self.prompt_sizes.borrow_mut();
+        // Bounds the routes and their counters, which change with the configuration.
         if sizes.is_full_for(route) {
             *sizes = Sizes::default();
-            self.metrics.fates.clear();
+            self.metrics.endings_by_route.clear();
         }
         sizes.note(route, prompt_tokens)
     }
 
-    /// Milliseconds after which a caller of `route` that comes back can be told from new ones, where that is known.
-    pub fn told_apart_millis(&self, route: &str) -> Option<u64> {
-        self.returns.borrow().told_apart_millis(route)
+    /// Shortest retry delay after which returning callers of `route` can be told from new ones;
+    /// `None` while that is unknown.
+    pub fn recognizable_retry_millis(&self, route: &str) -> Option<u64> {
+        self.return_detector.borrow().told_apart_millis(route)
     }
 
-    /// Requests that other gateways send to `service` in a millisecond: each about as many as this
-    /// one.
-    pub fn others_per_milli(&self, service: &str, now: Instant) -> f64 {
-        let others = f64::from(self.zones.borrow().gateway_count() - 1);
+    /// Estimates the requests per millisecond that other gateways send to `service`, from this
+    /// gateway's own rate.
+    pub fn peer_arrivals_per_milli(&self, service: &str, now: Instant) -> f64 {
+        let other_gateways = f64::from(self.zones.borrow().gateway_count() - 1);
         let arrivals = self.arrivals.borrow();
-        arrivals
-            .get(service)
-            .map_or(0.0, |own| own.per_milli(now) * others)
+        arrivals.get(service).map_or(0.0, |own_arrivals| {
+            own_arrivals.per_milli(now) * other_gateways
+        })
     }
 
-    /// Takes one retry for `service`; false where none is left.
-    pub fn take_retry(&self, service: &str, now: Instant) -> bool {
-        let paid = self.with_budget(service, |budget| budget.take(now));
-        if paid {
+    /// Spends one retry from the budget of `service`; returns false if none is left.
+    pub fn spend_retry(&self, service: &str, now: Instant) -> bool {
+        let is_granted = self.with_budget(service, |budget| budget.take(now));
+        if is_granted {
             self.metrics.retries.inc();
         }
-        paid
+        is_granted
     }
 
     fn with_budget<T>(&self, service: &str, change: impl FnOnce(&mut Budget) -> T) -> T {
-        let mut budgets = self.budget.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         if let Some(budget) = budgets.get_mut(service) {
             budget.note_members(self.gateway_count());
             return change(budget);
         }
-        let terms = Terms {
+        let limits = Terms {
             ratio: self.settings.retry_ratio,
             extra: self.settings.retry_extra,
             window_millis: self.settings.retry_window.0,
@@ -303,33 +317,33 @@
         change(
             budgets
                 .entry(service.to_owned())
-                .or_insert_with(|| Budget::new(terms)),
+                .or_insert_with(|| Budget::new(limits)),
         )
     }
 
-    /// Gateways that were heard of lately.
+    /// Gateways of all zones that are alive.
     pub fn living_gateways(&self) -> BTreeSet<GatewayPlace> {
         let zones = self.zones.borrow();
-        let living = zones.living(clock::now());
-        let place = |(zone, address): (&str, SocketAddr)| GatewayPlace {
+        let alive = zones.living(clock::now());
+        let location = |(zone, address): (&str, SocketAddr)| GatewayPlace {
             address,
             zone: zone.to_owned(),
         };
-        living.map(place).collect()
+        alive.map(location).collect()
     }
 
-    /// Where other gateways of this zone that were heard of lately answer gateways.
+    /// Control addresses of the other live gateways of this zone.
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         let port = self.settings.control.port();
         let neighbours = self.zones.borrow().neighbours();
-        let control = |peer: SocketAddr| SocketAddr::new(peer.ip(), port);
-        neighbours.into_iter().map(control).collect()
+        let control_address = |peer: SocketAddr| SocketAddr::new(peer.ip(), port);
+        neighbours.into_iter().map(control_address).collect()
     }
 
-    /// Gateways to count on when shares are made, on the safe side.
+    /// Estimated number of gateways that share a budget, with a margin against overspending.
     fn gateway_count(&self) -> u32 {
-        /// Gateways to expect where fewer have been heard of.
-        const LEAST: u32 = 12;
-        (self.zones.borrow().gateway_count() + 2).max(LEAST)
+        /// Assumed number if fewer are known, as just after a start.
+        const MIN_GATEWAYS: u32 = 12;
+        (self.zones.borrow().gateway_count() + 2).max(MIN_GATEWAYS)
     }
 }
--- a/crates/gingerpier_gateway/src/state/naming.rs
+++ b/crates/gingerpier_gateway/src/state/naming.rs
@@ -1,4 +1,4 @@
-//! Weights that operators named, and from when on older ones may start nothing.
+//! Released weights, and the cutovers at which older versions may start no more requests.
 
 use {
     super::State,
@@ -12,86 +12,89 @@
 };
 
 impl State {
-    /// Notes weights that operators named.
-    pub fn note_named(&self, named: &Named) {
+    /// Records a release that this gateway read from the store.
+    pub fn record_release(&self, release: &Named) {
         let now = clock::now();
-        let (fresh, within) = (self.fresh.get(), self.settings.version_within.0);
-        let earliest = fresh.earliest(within, now);
-        let mut namings = self.namings.borrow_mut();
-        let known = namings.entry(named.model.clone()).or_default();
-        if !known.note(named.version, OWN, earliest, now) {
+        let (freshness, within_millis) = (self.freshness.get(), self.settings.version_within.0);
+        let earliest = freshness.earliest(within_millis, now);
+        let mut releases = self.releases.borrow_mut();
+        let model_releases = releases.entry(release.model.clone()).or_default();
+        if !model_releases.note(release.version, OWN, earliest, now) {
             return;
         }
-        // What is heard may be read before any timer shows a standstill.
-        known.note_break(fresh.due_after_break(self.note_running(), within));
+        // Counts a stall of the process that no timer has noticed yet.
+        model_releases.note_break(freshness.due_after_break(self.record_tick(), within_millis));
         tracing::info!(
-            model = named.model,
-            version = named.version.0,
+            model = release.model,
+            version = release.version.0,
             age = now.millis_since(earliest),
             "weights named"
         );
-        self.naming.notify_one();
+        self.release_changed.notify_one();
     }
 
-    /// Newest weights named of each model.
+    /// Newest release of each model.
     pub fn named(&self) -> Vec<Named> {
-        let namings = self.namings.borrow();
-        let newest = |(model, known): (&String, &Namings)| {
+        let releases = self.releases.borrow();
+        let newest = |(model, model_releases): (&String, &Namings)| {
             Some(Named {
                 model: model.clone(),
-                version: known.newest()?.version,
+                version: model_releases.newest()?.version,
             })
         };
-        namings.iter().filter_map(newest).collect()
+        releases.iter().filter_map(newest).collect()
     }
 
-    /// Newest weights of `model` that were named.
+    /// Newest released version of `model`.
     pub fn newest_named(&self, model: &str) -> Option<Version> {
-        let namings = self.namings.borrow();
-        Some(namings.get(model)?.newest()?.version)
+        let releases = self.releases.borrow();
+        Some(releases.get(model)?.newest()?.version)
     }
 
-    /// True where others may hold a part of `named`: it was never named, or was heard of `millis` ago, or may have been
-    /// named before this process began to run.
-    pub fn may_be_held(&self, named: &Named, millis: u64) -> bool {
-        let namings = self.namings.borrow();
-        let known = namings
-            .get(&named.model)
+    /// True if another process may already have a part of the version: it is no release, is known
+    /// for `millis`, or may have been released before this process began to run.
+    pub fn may_be_held(&self, release: &Named, millis: u64) -> bool {
+        let releases = self.releases.borrow();
+        let model_releases = releases
+            .get(&release.model)
             .into_iter()
             .flat_map(Namings::iter);
-        let mut own = known.filter(|known| known.version == named.version);
-        own.all(|own| {
-            let age = clock::now().millis_since(own.heard);
-            age >= millis || own.due_after_break.is_some()
+        let mut same_version =
+            model_releases.filter(|candidate| candidate.version == release.version);
+        same_version.all(|candidate| {
+            let age = clock::now().millis_since(candidate.heard);
+            age >= millis || candidate.due_after_break.is_some()
         })
     }
 
-    /// The same as loaders are told.
-    pub fn namings(&self) -> Vec<message::Naming> {
+    /// Newest release of each model, with its age, for loaders.
+    pub fn releases(&self) -> Vec<message::Naming> {
         let now = clock::now();
-        let namings = self.namings.borrow();
-        let newest = |(model, known): (&String, &Namings)| {
-            let newest = known.newest()?;
+        let releases = self.releases.borrow();
+        let newest = |(model, model_releases): (&String, &Namings)| {
+            let newest = model_releases.newest()?;
             Some(message::Naming {
                 model: model.clone(),
                 version: newest.version.0,
                 age: now.millis_since(newest.at),
             })
         };
-        namings.iter().filter_map(newest).collect()
+        releases.iter().filter_map(newest).collect()
     }
 
-    /// Versions of `model` that come due, or came due already.
-    pub fn due(&self, model: &str) -> Vec<Due> {
-        let namings = self.namings.borrow();
-        let known = namings.get(model).into_iter().flat_map(Namings::iter);
-        known.map(|naming| self.due_of(naming)).collect()
+    /// Past and coming cutovers of `model`.
+    pub fn cutovers(&self, model: &str) -> Vec<Due> {
+        let releases = self.releases.borrow();
+        let model_releases = releases.get(model).into_iter().flat_map(Namings::iter);
+        model_releases
+            .map(|release| self.cutover_of(release))
+            .collect()
     }
 
-    fn due_of(&self, naming: &Naming) -> Due {
+    fn cutover_of(&self, release: &Naming) -> Due {
         Due {
-            version: naming.version,
-            at: naming.due_at(self.settings.version_within.0),
+            version: release.version,
+            at: release.due_at(self.settings.version_within.0),
         }
     }
 }
--- a/crates/gingerpier_gateway/src/state/places.rs
+++ b/crates/gingerpier_gateway/src/state/places.rs
@@ -1,4 +1,4 @@
-//! Where requests may be served: regions, zones that were emptied, and engines that are cold.
+//! Evacuated zones, unknown regions and ownership of cold engines.
 
 use {
     super::State,
@@ -13,13 +13,13 @@
     },
 };
 
-/// Milliseconds without a standstill after which this gateway knows the others well enough to own cold engines: twice as
-/// long as another takes to be named.
-const OWNING_MILLIS: u64 = 1_500;
+/// Milliseconds without a stall after which this gateway knows enough of the others to own cold
+/// engines: twice the time in which a new gateway becomes known.
+const MIN_UPTIME_MILLIS: u64 = 1_500;
 
 impl State {
-    /// Takes whether the engines of `zone` are to get no requests.
-    pub(super) fn evacuate(&self, zone: &str, is_evacuated: bool, revision: Revision) {
+    /// Sets whether the engines of `zone` are excluded from new requests.
+    pub(super) fn set_evacuated(&self, zone: &str, is_evacuated: bool, revision: Revision) {
         let now = clock::now();
         let mut fleet = self.fleet.borrow_mut();
         fleet.set_evacuated(zone, is_evacuated, now);
@@ -28,12 +28,12 @@
             is_evacuated,
             revision = revision.0,
             age = ?self.contact_age(),
-            "evacuation of a zone"
+            "zone evacuation changed"
         );
     }
 
-    /// Tells of regions that are named in a configuration and are none of this deployment.
-    pub(super) fn tell_unknown_regions(&self, configuration: &Configuration) {
+    /// Logs regions that a configuration names and this deployment does not have.
+    pub(super) fn log_unknown_regions(&self, configuration: &Configuration) {
         for (bound, regions) in configuration.bound() {
             let unknown = regions
                 .iter()
@@ -49,7 +49,7 @@
         }
     }
 
-    /// What cold engines of `service` bear.
+    /// Limits on requests to cold engines of `service`.
     pub fn cold_terms(&self, service: &Service) -> Terms {
         Terms {
             per_second: service.cold_per_second,
@@ -58,29 +58,30 @@
         }
     }
 
-    /// Notes of which cold engines this gateway is an owner, where it has run without a standstill `since` then.
-    pub fn note_owned(&self, since: Instant) {
+    /// Updates which cold engines this gateway owns; it owns none until it has run for a while
+    /// without a stall.
+    pub fn update_cold_ownership(&self, running_since: Instant) {
         let Some(configuration) = self.configuration() else {
             return;
         };
         let now = clock::now();
-        let runs = since.after_millis(OWNING_MILLIS);
+        let may_own_from = running_since.after_millis(MIN_UPTIME_MILLIS);
         let zones = self.zones.borrow();
         let gateways = zones.gateway_count();
         let mut fleet = self.fleet.borrow_mut();
         for service in configuration.services() {
-            let terms = self.cold_terms(service);
-            if !terms.may_be_cold() {
+            let limits = self.cold_terms(service);
+            if !limits.may_be_cold() {
                 continue;
             }
             let is_cold = |(_, engine): &(EngineKey, &Engine)| engine.warmth.is_cold(now);
-            let cold = fleet.present(&service.name).filter(is_cold);
-            let cold: Vec<EngineKey> = cold.map(|(key, _)| key).collect();
-            for key in cold {
+            let cold_engines = fleet.present(&service.name).filter(is_cold);
+            let cold_engines: Vec<EngineKey> = cold_engines.map(|(key, _)| key).collect();
+            for key in cold_engines {
                 let engine = fleet.engine_mut(key);
                 let subject = order::hash(&engine.record.address);
-                let is_owned = runs.has_passed(now)
-                    && zones.is_among(subject, terms.owner_count(gateways), now);
+                let is_owned = may_own_from.has_passed(now)
+                    && zones.is_among(subject, limits.owner_count(gateways), now);
                 engine.warmth.note_owned(is_owned);
             }
         }
--- a/crates/gingerpier_gateway/src/state/unnamed.rs
+++ b/crates/gingerpier_gateway/src/state/unnamed.rs
@@ -1,4 +1,4 @@
-//! Weights that operators have not named.
+//! Weights of models without a release.
 
 use {
     super::State,
@@ -6,7 +6,7 @@
     gingerpier_serving::{configuration::Configuration, dialect::Named, unnamed::Known},
 };
 
-/// Models that engines of `configuration` are for, each with its service.
+/// Models of the configuration's engines, as pairs of service and model.
 pub fn models(configuration: &Configuration) -> impl Iterator<Item = (&str, &str)> {
     let engines = configuration.services_part().engines();
     engines.filter_map(|(service, engines)| {
@@ -15,28 +15,28 @@
 }
 
 impl State {
-    /// What is known of the weights of `model` at engines of `service`.
+    /// Known versions of `model`, including those that engines of `service` have loaded.
     pub fn known_weights(&self, service: &str, model: &str) -> Known {
         let now = clock::now();
         let fleet = self.fleet.borrow();
         let present = fleet.present(service);
-        let held = present.filter_map(|(_, engine)| engine.version_of(model, now));
+        let loaded_versions = present.filter_map(|(_, engine)| engine.version_of(model, now));
         Known {
-            held: held.max(),
+            held: loaded_versions.max(),
             ..self.known_origin(model)
         }
     }
 
-    /// The same, but for what engines hold.
+    /// Known versions of `model` from releases and the origin only.
     pub fn known_origin(&self, model: &str) -> Known {
         Known {
             named: self.newest_named(model),
-            found: self.found.borrow().get(model).copied(),
+            found: self.origin_versions.borrow().get(model).copied(),
             held: None,
         }
     }
 
-    /// True where an engine of `service` lacks weights of `model`.
+    /// True if an engine of `service` has no weights of `model` loaded.
     pub fn lacks_weights(&self, service: &str, model: &str) -> bool {
         let now = clock::now();
         let fleet = self.fleet.borrow();
@@ -44,27 +44,27 @@
         present.any(|(_, engine)| engine.version_of(model, now).is_none())
     }
 
-    /// Notes what the origin was found to have; loaders hear of it at once.
+    /// Records the version that the origin offers and notifies loaders.
     pub fn note_found(&self, found: Named) {
-        let known = self
-            .found
+        let previous = self
+            .origin_versions
             .borrow_mut()
             .insert(found.model.clone(), found.version);
-        if known != Some(found.version) {
-            tracing::info!(model = found.model, version = found.version.0, known = ?known, "origin found to have weights");
-            self.naming.notify_one();
+        if previous != Some(found.version) {
+            tracing::info!(model = found.model, version = found.version.0, known = ?previous, "origin found to have weights");
+            self.release_changed.notify_one();
         }
     }
 
-    /// What loaders are told of weights that nobody named, while some engine lacks them: a loader that hears 36 gateways
-    /// would else get some 1.8 KB a second of it, worked out from 25 bytes a word.
-    pub fn unnamed(&self) -> Vec<message::Unnamed> {
+    /// Versions for loaders of models without a release; none for a model that all engines have
+    /// loaded, which keeps subscriptions short.
+    pub fn unreleased_versions(&self) -> Vec<message::Unnamed> {
         let Some(configuration) = self.configuration() else {
             return Vec::new();
         };
-        let told = models(&configuration).filter_map(|(service, model)| {
-            let is_named = self.newest_named(model).is_some();
-            if is_named || !self.lacks_weights(service, model) {
+        let versions = models(&configuration).filter_map(|(service, model)| {
+            let is_released = self.newest_named(model).is_some();
+            if is_released || !self.lacks_weights(service, model) {
                 return None;
             }
             let known = self.known_weights(service, model);
@@ -75,6 +75,6 @@
                 is_found: known.found.is_some(),
             })
         });
-        told.collect()
+        versions.collect()
     }
 }
--- a/crates/gingerpier_gateway/src/state/work.rs
+++ b/crates/gingerpier_gateway/src/state/work.rs
@@ -1,6 +1,7 @@
-//! How short places are, by the work that they are short for.
+//! Load shedding by traffic class.
 //!
-//! Requests that are bound to regions have only the engines there, so their places may be short where others have enough.
+//! Requests that are bound to regions compete only for the engines there, so each set of regions of
+//! a service is a class of its own.
 
 use {
     super::State,
@@ -9,76 +10,91 @@
     std::collections::HashMap,
 };
 
-/// Sets of regions that are told apart for one service.
-const MAX_HOMES: usize = 64;
+/// Most traffic classes of one service; the service's classes are reset beyond that.
+const MAX_CLASSES_PER_SERVICE: usize = 64;
 
 /// Requests that compete for the same engines.
 #[derive(Debug, Clone, Copy)]
-pub struct Work<'a> {
-    /// Service.
+pub struct TrafficClass<'a> {
+    /// Name of the service.
     pub service: &'a str,
-    /// Regions in which they may be served.
-    pub homes: Homes,
+    /// Regions in which the requests may be served.
+    pub regions: Homes,
 }
 
-/// How short places are for each work.
+/// Load shedding controllers by service and set of regions.
 #[derive(Debug, Default)]
-pub(super) struct Shortage(HashMap<String, Vec<(Homes, Precedence)>>);
+pub(super) struct SheddingTable(HashMap<String, Vec<(Homes, Precedence)>>);
 
-impl Shortage {
-    fn find(&self, work: Work<'_>) -> Option<&Precedence> {
-        let mut known = self.0.get(work.service)?.iter();
-        let (_, precedence) = known.find(|(homes, _)| *homes == work.homes)?;
-        Some(precedence)
+impl SheddingTable {
+    fn find(&self, traffic_class: TrafficClass<'_>) -> Option<&Precedence> {
+        let mut classes = self.0.get(traffic_class.service)?.iter();
+        let (_, controller) = classes.find(|(regions, _)| *regions == traffic_class.regions)?;
+        Some(controller)
     }
 
-    fn entry(&mut self, work: Work<'_>) -> &mut Precedence {
-        // A text is made only for a service that is new.
-        if !self.0.contains_key(work.service) {
-            self.0.insert(work.service.to_owned(), Vec::new());
+    fn entry(&mut self, traffic_class: TrafficClass<'_>) -> &mut Precedence {
+        // Allocates the key only for a new service.
+        if !self.0.contains_key(traffic_class.service) {
+            self.0.insert(traffic_class.service.to_owned(), Vec::new());
         }
-        let known = self.0.get_mut(work.service).expect("it was added");
-        let place = known.iter().position(|(homes, _)| *homes == work.homes);
-        let place = place.unwrap_or_else(|| {
-            if known.len() >= MAX_HOMES {
-                known.clear();
+        let classes = self
+            .0
+            .get_mut(traffic_class.service)
+            .expect("the service was inserted above");
+        let index = classes
+            .iter()
+            .position(|(regions, _)| *regions == traffic_class.regions);
+        let index = index.unwrap_or_else(|| {
+            if classes.len() >= MAX_CLASSES_PER_SERVICE {
+                classes.clear();
             }
-            known.push((work.homes, Precedence::default()));
-            known.len() - 1
+            classes.push((traffic_class.regions, Precedence::default()));
+            classes.len() - 1
         });
-        &mut known[place].1
+        &mut classes[index].1
     }
 }
 
 impl State {
-    /// Notes that a request was refused whose caller could `wait` so many milliseconds behind others, where that is known.
-    pub fn note_refused(&self, work: Work<'_>, visit: Visit, wait: Option<f64>, now: Instant) {
-        self.returns.borrow_mut().note_refused(now);
-        self.note_fate(work, visit, (true, wait), now);
+    /// Records a refused request; `slack_millis` is the time that it could have queued; `None` if
+    /// unknown.
+    pub fn record_refusal(
+        &self,
+        traffic_class: TrafficClass<'_>,
+        visit: Visit,
+        slack_millis: Option<f64>,
+        now: Instant,
+    ) {
+        self.return_detector.borrow_mut().note_refused(now);
+        self.record_admission(traffic_class, visit, (true, slack_millis), now);
     }
 
-    pub(super) fn note_fate(
+    pub(super) fn record_admission(
         &self,
-        work: Work<'_>,
+        traffic_class: TrafficClass<'_>,
         visit: Visit,
-        (is_refused, wait): (bool, Option<f64>),
+        (is_refused, slack_millis): (bool, Option<f64>),
         now: Instant,
     ) {
-        let mut all = self.precedence.borrow_mut();
-        all.entry(work).note(visit, is_refused, wait, now);
+        let mut all = self.shedding.borrow_mut();
+        all.entry(traffic_class)
+            .note(visit, is_refused, slack_millis, now);
     }
 
-    /// How far requests of `work` are treated alike.
-    pub fn even(&self, work: Work<'_>, now: Instant) -> Even {
-        let all = self.precedence.borrow();
-        let known = all.find(work);
-        known.map(|known| known.even(now)).unwrap_or_default()
+    /// Adjustment that gives all requests of the class the same slack under overload.
+    pub fn fairness(&self, traffic_class: TrafficClass<'_>, now: Instant) -> Even {
+        let all = self.shedding.borrow();
+        let controller = all.find(traffic_class);
+        controller
+            .map(|controller| controller.even(now))
+            .unwrap_or_default()
     }
 
-    /// Part of its target that a first event of `work` may be predicted to take, for a caller on such a visit.
-    pub fn target_share(&self, work: Work<'_>, visit: Visit, now: Instant) -> f64 {
-        let all = self.precedence.borrow();
-        let known = all.find(work).copied().unwrap_or_default();
-        known.share(visit, now)
+    /// Share of the target that the predicted first event of a request may use.
+    pub fn target_share(&self, traffic_class: TrafficClass<'_>, visit: Visit, now: Instant) -> f64 {
+        let all = self.shedding.borrow();
+        let controller = all.find(traffic_class).copied().unwrap_or_default();
+        controller.share(visit, now)
     }
 }
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -1,8 +1,10 @@
-//! Requests that ended engines: what this gateway saw and heard of them, and what it tells the others.
+//! Tracking of requests that are suspected of crashing engines, and its replication between
+//! gateways.
 //!
-//! An end is told at once to all gateways, and twice again, as a datagram may be lost. Where there are many gateways, two of each
-//! other zone are told, which pass on what is new to them. Besides, each gateway sends a digest of the graver part of what
-//! it knows to another one each second: who started, was cut off or stood still learns the rest by that.
+//! A crash is announced to all gateways at once and repeated twice, as datagrams may be lost. Large
+//! deployments send it to two gateways of each other zone, which forward it. Gateways also exchange
+//! digests of the more serious cases each second, from which one that started or was unreachable
+//! catches up.
 
 use {
     crate::{
@@ -29,139 +31,155 @@
     tokio::{net::UdpSocket, sync::Notify},
 };
 
-/// Milliseconds that word waits for more: an engine's end is noticed for all its requests within a round trip.
-const GATHER_MILLIS: u64 = 2;
+/// Milliseconds for which updates are batched: the requests of one engine notice its crash within a
+/// round trip.
+const BATCH_MILLIS: u64 = 2;
 
-/// Milliseconds after which word of an end is repeated.
-const REPEATS_MILLIS: [u64; 2] = [100, 500];
+/// Delays after which a crash report is repeated.
+const REPEAT_DELAYS_MILLIS: [u64; 2] = [100, 500];
 
-/// Milliseconds between two digests.
-const DIGEST_EVERY_MILLIS: u64 = 1_000;
+/// Interval between digests.
+const DIGEST_INTERVAL_MILLIS: u64 = 1_000;
 
-/// The same, and for how long, of a process that has just started and knows nothing.
-const START_EVERY_MILLIS: u64 = 200;
-const START_MILLIS: u64 = 4_000;
+/// Interval between digests after process start, and how long it applies.
+const STARTUP_DIGEST_INTERVAL_MILLIS: u64 = 200;
+const STARTUP_MILLIS: u64 = 4_000;
 
-/// Gateways up to which each is told directly: a datagram each is 4 KB of headers and contents an engine's end.
-const MOST_DIRECT: u32 = 64;
+/// Most gateways that are all sent updates directly.
+const MAX_DIRECT_GATEWAYS: u32 = 64;
 
-/// Gateways of another zone that are told where there are more.
-const RECEIVERS: usize = 2;
+/// Gateways of each other zone that are sent updates in larger deployments.
+const RECEIVERS_PER_ZONE: usize = 2;
 
-/// Entries in one datagram: some 45 bytes each.
-const ENTRIES: usize = 24;
+/// Entries in one datagram, of about 45 bytes each.
+const MAX_ENTRIES: usize = 24;
 
-/// Datagrams that answer one digest at most.
-const MOST_ANSWERS: usize = 8;
+/// Most datagrams in response to one digest.
+const MAX_RESPONSES: usize = 8;
 
-/// Word that waits to be told.
+/// Updates that wait to be sent.
 #[derive(Default)]
 struct Outbox {
-    ends: Vec<End>,
-    cleared: Vec<(Mark, Version)>,
-    pardons: Vec<ToldPardon>,
-    trials: Vec<ToldTrial>,
+    crashes: Vec<End>,
+    completions: Vec<(Mark, Version)>,
+    dismissals: Vec<ToldPardon>,
+    trial_updates: Vec<ToldTrial>,
     repeats: VecDeque<(Instant, Vec<End>)>,
 }
 
-/// What a gateway knows of requests that ended engines.
+/// A gateway's view of requests that are suspected of crashing engines.
 #[derive(Default)]
-pub struct Knowledge {
-    /// The requests.
+pub struct SuspectState {
+    /// Suspected requests and their crashes.
     pub suspects: RefCell<Suspects>,
-    /// Trials under way.
+    /// Trials that are running on any gateway.
     pub trials: RefCell<Trials>,
-    /// Tells requests under way that one more is held back.
-    pub held: Notify,
+    /// Notified when another request is put on hold.
+    pub request_held: Notify,
     outbox: RefCell<Outbox>,
-    has_word: Notify,
+    has_updates: Notify,
 }
 
 impl State {
-    /// Notes that the engine at `engine`, one `of` so many, ended while it ran a request of this gateway.
-    pub fn note_end(&self, end: End, of: usize) {
-        let noted = self.knowledge.suspects.borrow_mut().note_end(end, of);
-        // What is refuted here is not told: most requests that many send are.
-        if noted == Noted::News {
-            self.knowledge.outbox.borrow_mut().ends.push(end);
-            self.knowledge.has_word.notify_one();
+    /// Records that an engine crashed while it ran a request of this gateway; `engine_count` is the
+    /// number of listed engines.
+    pub fn record_crash(&self, crash: End, engine_count: usize) {
+        let change = self
+            .suspect_state
+            .suspects
+            .borrow_mut()
+            .note_end(crash, engine_count);
+        // A refuted crash is not announced: most requests that many callers send are refuted soon.
+        if change == Noted::News {
+            self.suspect_state.outbox.borrow_mut().crashes.push(crash);
+            self.suspect_state.has_updates.notify_one();
         }
     }
 
-    /// Holds requests back where enough is known against them.
-    fn judge(&self, now: Instant) {
-        let held = self.knowledge.suspects.borrow_mut().judge(now);
-        if held.is_empty() {
+    /// Puts requests on hold that have enough crashes against them.
+    fn evaluate_suspects(&self, now: Instant) {
+        let newly_held = self.suspect_state.suspects.borrow_mut().judge(now);
+        if newly_held.is_empty() {
             return;
         }
-        let suspects = self.knowledge.suspects.borrow();
-        for mark in held {
-            let engines = suspects.case(mark).map(|case| self.engine_ids(case));
-            tracing::warn!(%mark, ?engines, "request is held back, as engines ended under it");
+        let suspects = self.suspect_state.suspects.borrow();
+        for fingerprint in newly_held {
+            let engines = suspects.case(fingerprint).map(|case| self.engine_ids(case));
+            tracing::warn!(mark = %fingerprint, ?engines, "request put on hold, as engines crashed while running it");
         }
-        self.knowledge.held.notify_waiters();
+        self.suspect_state.request_held.notify_waiters();
     }
 
-    /// Ids of the engines that ended under a request, as far as they are known here.
+    /// Ids of the engines that crashed under a request, as far as they are known here.
     fn engine_ids(&self, case: &Case) -> Vec<String> {
         let fleet = self.fleet.borrow();
-        let ends: BTreeSet<Incarnation> = case.ends.iter().map(|end| end.engine).collect();
-        let is_ended = |engine: &&gingerpier_serving::engine::Engine| {
-            ends.contains(&Incarnation::of(&engine.record, engine.born()))
+        let crashed: BTreeSet<Incarnation> = case.ends.iter().map(|crash| crash.engine).collect();
+        let has_crashed = |engine: &&gingerpier_serving::engine::Engine| {
+            crashed.contains(&Incarnation::of(&engine.record, engine.born()))
         };
-        let engines = fleet.known().filter(is_ended);
+        let engines = fleet.known().filter(has_crashed);
         engines.map(|engine| engine.record.id.clone()).collect()
     }
 
-    /// Notes that a request was answered whole by weights of `version`.
-    pub fn note_finished(&self, mark: Mark, version: Version) {
+    /// Records that weights of `version` completed a request, which refutes earlier crashes.
+    pub fn record_completion(&self, fingerprint: Mark, version: Version) {
         let refutes = self
-            .knowledge
+            .suspect_state
             .suspects
             .borrow_mut()
-            .note_finished(mark, version);
+            .note_finished(fingerprint, version);
         if refutes {
-            tracing::info!(%mark, version = version.0, "request was answered whole, engines ended under it by chance");
-            self.tell_cleared(mark, version);
+            tracing::info!(mark = %fingerprint, version = version.0, "request completed; it did not cause earlier engine crashes");
+            self.announce_completion(fingerprint, version);
         }
     }
 
-    fn tell_cleared(&self, mark: Mark, version: Version) {
-        let mut outbox = self.knowledge.outbox.borrow_mut();
-        outbox.cleared.push((mark, version));
-        self.knowledge.has_word.notify_one();
+    fn announce_completion(&self, fingerprint: Mark, version: Version) {
+        let mut outbox = self.suspect_state.outbox.borrow_mut();
+        outbox.completions.push((fingerprint, version));
+        self.suspect_state.has_updates.notify_one();
     }
 
-    /// Tells the others that a trial of this gateway begins or is over.
-    pub fn tell_trial(&self, trial: &Trial, is_over: bool) {
-        let told = ToldTrial::new(trial, is_over);
-        self.knowledge.outbox.borrow_mut().trials.push(told);
-        self.knowledge.has_word.notify_one();
+    /// Announces to other gateways that a trial of this gateway begins or is over.
+    pub fn announce_trial(&self, trial: &Trial, is_over: bool) {
+        let update = ToldTrial::new(trial, is_over);
+        self.suspect_state
+            .outbox
+            .borrow_mut()
+            .trial_updates
+            .push(update);
+        self.suspect_state.has_updates.notify_one();
     }
 
-    /// Lets requests go again whose marks begin with `prefix`, by an operator's word; gives how many.
+    /// Dismisses the crashes of held requests whose fingerprints begin with `prefix`; returns the
+    /// number of requests.
     pub fn release(&self, prefix: &str) -> usize {
-        let mut suspects = self.knowledge.suspects.borrow_mut();
-        let held = suspects.held().filter(|(mark, _)| mark.begins_with(prefix));
-        let held: Vec<(Mark, u32)> = held.map(|(mark, case)| (mark, case.account)).collect();
-        let mut outbox = self.knowledge.outbox.borrow_mut();
-        for (mark, account) in &held {
-            for engine in suspects.pardon(*mark) {
-                outbox.pardons.push(ToldPardon {
-                    mark: (*mark).into(),
+        let mut suspects = self.suspect_state.suspects.borrow_mut();
+        let held = suspects
+            .held()
+            .filter(|(fingerprint, _)| fingerprint.begins_with(prefix));
+        let held: Vec<(Mark, u32)> = held
+            .map(|(fingerprint, case)| (fingerprint, case.account))
+            .collect();
+        let mut outbox = self.suspect_state.outbox.borrow_mut();
+        for (fingerprint, account) in &held {
+            for engine in suspects.pardon(*fingerprint) {
+                outbox.dismissals.push(ToldPardon {
+                    mark: (*fingerprint).into(),
                     account: *account,
                     engine: engine.0,
                 });
             }
-            tracing::warn!(%mark, "request is let go again, by an operator's word");
+            tracing::warn!(mark = %fingerprint, "request no longer on hold; an operator dismissed its crashes");
         }
-        self.knowledge.has_word.notify_one();
+        self.suspect_state.has_updates.notify_one();
         held.len()
     }
 
-    /// Requests that are held back, one a line: mark, engines that ended under it, and those of them that are known here.
+    /// Held requests, one per line: fingerprint, number of crashed engines, and ids of those that
+    /// are known here.
     pub fn held_text(&self) -> String {
-        let suspects = self.knowledge.suspects.borrow();
+        let suspects = self.suspect_state.suspects.borrow();
         let line = |(mark, case): (Mark, &Case)| {
             let engines = self.engine_ids(case).join(",");
             format!("mark={mark} ended={} engines={engines}\n", case.ends.len())
@@ -169,56 +187,58 @@
         suspects.held().map(line).collect()
     }
 
-    /// Counts requests under which engines ended.
-    pub fn count_suspects(&self) {
-        let suspects = self.knowledge.suspects.borrow();
-        self.metrics.suspects.set(suspects.count() as i64);
-        self.metrics.held.set(suspects.held().count() as i64);
+    /// Updates the metrics of suspected and held requests.
+    pub fn update_suspect_metrics(&self) {
+        let suspects = self.suspect_state.suspects.borrow();
+        self.metrics.suspect_requests.set(suspects.count() as i64);
+        self.metrics
+            .held_requests
+            .set(suspects.held().count() as i64);
     }
 
-    /// Returns once a request is held back.
-    pub async fn is_held(&self, mark: Mark) {
+    /// Completes once the request is on hold.
+    pub async fn until_held(&self, fingerprint: Mark) {
         loop {
-            let held = self.knowledge.held.notified();
-            if self.knowledge.suspects.borrow().standing(mark) == Standing::Held {
+            let notified = self.suspect_state.request_held.notified();
+            if self.suspect_state.suspects.borrow().standing(fingerprint) == Standing::Held {
                 return;
             }
-            held.await;
+            notified.await;
         }
     }
 }
 
-/// Tells other gateways what there is to tell.
-pub async fn tell(state: Rc<State>, socket: Rc<UdpSocket>) {
+/// Sends updates to other gateways.
+pub async fn send_updates(state: Rc<State>, socket: Rc<UdpSocket>) {
     loop {
-        let repeat = {
-            let outbox = state.knowledge.outbox.borrow();
+        let repeat_at = {
+            let outbox = state.suspect_state.outbox.borrow();
             outbox.repeats.front().map(|(at, _)| *at)
         };
-        let judges = state.knowledge.suspects.borrow().judges_at();
-        match repeat.into_iter().chain(judges).min() {
-            Some(at) => drop(clock::before(at, state.knowledge.has_word.notified()).await),
-            None => state.knowledge.has_word.notified().await,
+        let evaluate_at = state.suspect_state.suspects.borrow().judges_at();
+        match repeat_at.into_iter().chain(evaluate_at).min() {
+            Some(at) => drop(clock::before(at, state.suspect_state.has_updates.notified()).await),
+            None => state.suspect_state.has_updates.notified().await,
         }
-        clock::pause(GATHER_MILLIS).await;
+        clock::pause(BATCH_MILLIS).await;
         let now = clock::now();
-        if judges.is_some_and(|at| at.has_passed(now)) {
-            state.judge(now);
+        if evaluate_at.is_some_and(|at| at.has_passed(now)) {
+            state.evaluate_suspects(now);
         }
-        let messages = take_word(&mut state.knowledge.outbox.borrow_mut(), now);
+        let messages = take_updates(&mut state.suspect_state.outbox.borrow_mut(), now);
         for message in messages {
             send_to_all(&state, &socket, message, now);
         }
     }
 }
 
-fn take_word(outbox: &mut Outbox, now: Instant) -> Vec<Message> {
-    let mut ends = std::mem::take(&mut outbox.ends);
-    if !ends.is_empty() {
-        for millis in REPEATS_MILLIS {
+fn take_updates(outbox: &mut Outbox, now: Instant) -> Vec<Message> {
+    let mut crashes = std::mem::take(&mut outbox.crashes);
+    if !crashes.is_empty() {
+        for millis in REPEAT_DELAYS_MILLIS {
             let at = now.after_millis(millis);
-            let place = outbox.repeats.partition_point(|(other, _)| *other <= at);
-            outbox.repeats.insert(place, (at, ends.clone()));
+            let index = outbox.repeats.partition_point(|(other, _)| *other <= at);
+            outbox.repeats.insert(index, (at, crashes.clone()));
         }
     }
     while outbox
@@ -226,44 +246,52 @@
         .front()
         .is_some_and(|(at, _)| at.has_passed(now))
     {
-        ends.extend(
+        crashes.extend(
             outbox
                 .repeats
                 .pop_front()
                 .into_iter()
-                .flat_map(|(_, ends)| ends),
+                .flat_map(|(_, crashes)| crashes),
         );
     }
-    let ends: Vec<ToldEnd> = ends.iter().map(|end| ToldEnd::new(end, now)).collect();
-    let cleared = std::mem::take(&mut outbox.cleared).into_iter();
-    let cleared: Vec<ToldCleared> = cleared.map(told_cleared).collect();
-    let pardons = std::mem::take(&mut outbox.pardons);
-    let trials = std::mem::take(&mut outbox.trials);
-    messages(&ends, &cleared, &pardons, &trials)
+    let crashes: Vec<ToldEnd> = crashes
+        .iter()
+        .map(|crash| ToldEnd::new(crash, now))
+        .collect();
+    let completions = std::mem::take(&mut outbox.completions).into_iter();
+    let completions: Vec<ToldCleared> = completions.map(completion_update).collect();
+    let dismissals = std::mem::take(&mut outbox.dismissals);
+    let trial_updates = std::mem::take(&mut outbox.trial_updates);
+    split_into_messages(&crashes, &completions, &dismissals, &trial_updates)
 }
 
-fn told_cleared((mark, version): (Mark, Version)) -> ToldCleared {
+fn completion_update((fingerprint, version): (Mark, Version)) -> ToldCleared {
     ToldCleared {
-        mark: mark.into(),
+        mark: fingerprint.into(),
         version: version.0,
     }
 }
 
-/// Messages that fit into datagrams.
-fn messages(
-    ends: &[ToldEnd],
-    cleared: &[ToldCleared],
-    pardons: &[ToldPardon],
-    trials: &[ToldTrial],
+/// Splits updates into messages that fit into datagrams.
+fn split_into_messages(
+    crashes: &[ToldEnd],
+    completions: &[ToldCleared],
+    dismissals: &[ToldPardon],
+    trial_updates: &[ToldTrial],
 ) -> Vec<Message> {
-    let longest = [ends.len(), cleared.len(), pardons.len(), trials.len()];
-    let together: usize = longest.iter().sum();
-    if together <= ENTRIES {
+    let counts = [
+        crashes.len(),
+        completions.len(),
+        dismissals.len(),
+        trial_updates.len(),
+    ];
+    let total: usize = counts.iter().sum();
+    if total <= MAX_ENTRIES {
         let message = Message {
-            ends: ends.to_vec(),
-            cleared: cleared.to_vec(),
-            pardons: pardons.to_vec(),
-            trials: trials.to_vec(),
+            ends: crashes.to_vec(),
+            cleared: completions.to_vec(),
+            pardons: dismissals.to_vec(),
+            trials: trial_updates.to_vec(),
             ..Message::default()
         };
         return if message.is_empty() {
@@ -272,166 +300,181 @@
             vec![message]
         };
     }
-    let ends = ends.chunks(ENTRIES).map(|ends| Message {
-        ends: ends.to_vec(),
-        ..Message::default()
-    });
-    let cleared = cleared.chunks(ENTRIES).map(|cleared| Message {
-        cleared: cleared.to_vec(),
+    let crashes = crashes.chunks(MAX_ENTRIES).map(|crashes| Message {
+        ends: crashes.to_vec(),
         ..Message::default()
     });
-    let pardons = pardons.chunks(ENTRIES).map(|pardons| Message {
-        pardons: pardons.to_vec(),
+    let completions = completions.chunks(MAX_ENTRIES).map(|completions| Message {
+        cleared: completions.to_vec(),
         ..Message::default()
     });
-    let trials = trials.chunks(ENTRIES).map(|trials| Message {
-        trials: trials.to_vec(),
+    let dismissals = dismissals.chunks(MAX_ENTRIES).map(|dismissals| Message {
+        pardons: dismissals.to_vec(),
         ..Message::default()
     });
-    ends.chain(cleared).chain(pardons).chain(trials).collect()
+    let trial_updates = trial_updates
+        .chunks(MAX_ENTRIES)
+        .map(|trial_updates| Message {
+            trials: trial_updates.to_vec(),
+            ..Message::default()
+        });
+    crashes
+        .chain(completions)
+        .chain(dismissals)
+        .chain(trial_updates)
+        .collect()
 }
 
 fn send(state: &State, socket: &UdpSocket, message: &Message, receiver: SocketAddr) {
     let bytes = message::encode(&Datagram::Suspects(message.clone()));
     state.metrics.note_message(Kind::Suspects, bytes.len());
-    // A datagram that can't be sent is as good as lost; it is repeated, or the next digest shows what is missing.
+    // A datagram that is not sent counts as lost: it is repeated, or the next digest reveals the
+    // gap.
     let _ = socket.try_send_to(&bytes, receiver);
 }
 
 fn send_to_all(state: &State, socket: &UdpSocket, mut message: Message, now: Instant) {
     let zones = state.zones.borrow();
-    let is_direct = zones.gateway_count() <= MOST_DIRECT;
+    let is_direct = zones.gateway_count() <= MAX_DIRECT_GATEWAYS;
     let own = state.settings.peers;
-    let mut told_of_zone = 0;
+    let mut sent_to_zone = 0;
     let mut last_zone = String::new();
     for (zone, gateway) in zones.living(now) {
         if last_zone != zone {
             last_zone = zone.to_owned();
-            told_of_zone = 0;
+            sent_to_zone = 0;
         }
-        let is_near = is_direct || zone == state.settings.zone;
-        if gateway == own || (!is_near && told_of_zone >= RECEIVERS) {
+        let is_target_zone = is_direct || zone == state.settings.zone;
+        if gateway == own || (!is_target_zone && sent_to_zone >= RECEIVERS_PER_ZONE) {
             continue;
         }
-        told_of_zone += 1;
-        message.is_to_pass_on = !is_near;
+        sent_to_zone += 1;
+        message.is_to_pass_on = !is_target_zone;
         send(state, socket, &message, gateway);
     }
 }
 
-/// Takes word of another gateway.
-pub fn take(state: &State, socket: &UdpSocket, told: &Message, from: SocketAddr) {
+/// Applies an update or a digest from another gateway, and responds to it.
+pub fn receive(state: &State, socket: &UdpSocket, update: &Message, from: SocketAddr) {
     let now = clock::now();
-    let (news, refuted) = note(state, told, now);
-    if !refuted.is_empty() {
-        let answer = Message {
-            cleared: refuted,
+    let (news, refutations) = apply_update(state, update, now);
+    if !refutations.is_empty() {
+        let response = Message {
+            cleared: refutations,
             is_answer: true,
             ..Message::default()
         };
-        send(state, socket, &answer, from);
+        send(state, socket, &response, from);
     }
-    if told.is_to_pass_on && !news.is_empty() {
+    if update.is_to_pass_on && !news.is_empty() {
         for neighbour in state.zones.borrow().neighbours() {
             send(state, socket, &news, neighbour);
         }
     }
-    let Some(digest) = told.digest else { return };
-    let own = state.knowledge.suspects.borrow().digest();
-    if digest == own {
+    let Some(digest) = update.digest else { return };
+    let own_digest = state.suspect_state.suspects.borrow().digest();
+    if digest == own_digest {
         return;
     }
-    let mut answers = grave(&state.knowledge.suspects.borrow(), now);
-    answers.truncate(MOST_ANSWERS);
-    for answer in &answers {
-        send(state, socket, answer, from);
+    let mut responses = serious_cases(&state.suspect_state.suspects.borrow(), now);
+    responses.truncate(MAX_RESPONSES);
+    for response in &responses {
+        send(state, socket, response, from);
     }
-    if !told.is_answer {
-        let question = Message {
-            digest: Some(own),
+    if !update.is_answer {
+        let request = Message {
+            digest: Some(own_digest),
             is_answer: true,
             ..Message::default()
         };
-        send(state, socket, &question, from);
+        send(state, socket, &request, from);
     }
 }
 
-/// Notes what was told; gives what of it is new, and what is refuted here.
-fn note(state: &State, told: &Message, now: Instant) -> (Message, Vec<ToldCleared>) {
+/// Applies an update; returns the part of it that is new here, and completions that refute it.
+fn apply_update(state: &State, update: &Message, now: Instant) -> (Message, Vec<ToldCleared>) {
     let mut news = Message::default();
-    let mut refuted: Vec<ToldCleared> = Vec::new();
-    for one in &told.ends {
-        let end = one.end(now);
-        let of = state.engine_count();
-        let noted = state.knowledge.suspects.borrow_mut().note_end(end, of);
-        match noted {
+    let mut refutations: Vec<ToldCleared> = Vec::new();
+    for report in &update.ends {
+        let crash = report.end(now);
+        let engine_count = state.engine_count();
+        let change = state
+            .suspect_state
+            .suspects
+            .borrow_mut()
+            .note_end(crash, engine_count);
+        match change {
             Noted::Known => {}
-            Noted::News => news.ends.push(*one),
-            Noted::Refuted(version) => refuted.push(told_cleared((end.mark, version))),
+            Noted::News => news.ends.push(*report),
+            Noted::Refuted(version) => refutations.push(completion_update((crash.mark, version))),
         }
     }
-    refuted.dedup();
-    let mut suspects = state.knowledge.suspects.borrow_mut();
-    for one in &told.cleared {
-        if suspects.note_cleared(one.mark.into(), Version(one.version)) {
-            news.cleared.push(*one);
-            // An answer to word of this gateway, which others may have heard as well.
-            if told.is_answer {
-                state.tell_cleared(one.mark.into(), Version(one.version));
+    refutations.dedup();
+    let mut suspects = state.suspect_state.suspects.borrow_mut();
+    for completion in &update.cleared {
+        if suspects.note_cleared(completion.mark.into(), Version(completion.version)) {
+            news.cleared.push(*completion);
+            // A response to an update that this gateway may also have sent to others.
+            if update.is_answer {
+                state.announce_completion(completion.mark.into(), Version(completion.version));
             }
         }
     }
-    for one in &told.pardons {
-        if suspects.note_pardoned(one.mark.into(), one.account, Incarnation(one.engine)) {
-            news.pardons.push(*one);
+    for dismissal in &update.pardons {
+        if suspects.note_pardoned(
+            dismissal.mark.into(),
+            dismissal.account,
+            Incarnation(dismissal.engine),
+        ) {
+            news.pardons.push(*dismissal);
         }
     }
-    let mut trials = state.knowledge.trials.borrow_mut();
-    for one in &told.trials {
-        match one.is_over {
-            true => trials.note_over(one.mark.into(), one.by),
-            false => trials.note_begun(one.trial(), now),
+    let mut trials = state.suspect_state.trials.borrow_mut();
+    for trial_update in &update.trials {
+        match trial_update.is_over {
+            true => trials.note_over(trial_update.mark.into(), trial_update.by),
+            false => trials.note_begun(trial_update.trial(), now),
         }
-        news.trials.push(*one);
+        news.trials.push(*trial_update);
     }
     if !news.is_empty() {
-        // It is judged soon.
-        state.knowledge.has_word.notify_one();
+        // Wakes the sending task, which also evaluates the suspects.
+        state.suspect_state.has_updates.notify_one();
     }
-    (news, refuted)
+    (news, refutations)
 }
 
-/// All that others should know.
-fn grave(suspects: &Suspects, now: Instant) -> Vec<Message> {
-    let ends = suspects.grave().flat_map(|(_, case)| &case.ends);
-    let ends: Vec<ToldEnd> = ends.map(|end| ToldEnd::new(end, now)).collect();
-    let cleared = suspects
+/// Messages with all serious cases.
+fn serious_cases(suspects: &Suspects, now: Instant) -> Vec<Message> {
+    let crashes = suspects.grave().flat_map(|(_, case)| &case.ends);
+    let crashes: Vec<ToldEnd> = crashes.map(|crash| ToldEnd::new(crash, now)).collect();
+    let completions = suspects
         .grave()
-        .filter_map(|(mark, case)| Some((mark, case.cleared?)));
-    let cleared: Vec<ToldCleared> = cleared.map(told_cleared).collect();
-    let pardons = suspects.grave().flat_map(|(mark, case)| {
+        .filter_map(|(fingerprint, case)| Some((fingerprint, case.cleared?)));
+    let completions: Vec<ToldCleared> = completions.map(completion_update).collect();
+    let dismissals = suspects.grave().flat_map(|(fingerprint, case)| {
         case.pardoned.iter().map(move |engine| ToldPardon {
-            mark: mark.into(),
+            mark: fingerprint.into(),
             account: case.account,
             engine: engine.0,
         })
     });
-    let pardons: Vec<ToldPardon> = pardons.collect();
-    messages(&ends, &cleared, &pardons, &[])
+    let dismissals: Vec<ToldPardon> = dismissals.collect();
+    split_into_messages(&crashes, &completions, &dismissals, &[])
 }
 
-/// Sends digests to other gateways, one after the other at random.
-pub async fn compare(state: Rc<State>, socket: Rc<UdpSocket>) {
+/// Sends digests to other gateways, each time to a random one.
+pub async fn send_digests(state: Rc<State>, socket: Rc<UdpSocket>) {
     loop {
-        let is_new = clock::now().millis_since(state.started()) < START_MILLIS;
-        let pause = if is_new {
-            START_EVERY_MILLIS
+        let is_starting = clock::now().millis_since(state.started()) < STARTUP_MILLIS;
+        let interval = if is_starting {
+            STARTUP_DIGEST_INTERVAL_MILLIS
         } else {
-            DIGEST_EVERY_MILLIS
+            DIGEST_INTERVAL_MILLIS
         };
-        clock::pause(pause).await;
-        let digest = state.knowledge.suspects.borrow().digest();
-        if digest == 0 && !is_new {
+        clock::pause(interval).await;
+        let digest = state.suspect_state.suspects.borrow().digest();
+        if digest == 0 && !is_starting {
             continue;
         }
         let receiver = {
@@ -441,15 +484,15 @@
             fastrand::choice(others.collect::<Vec<_>>())
         };
         let Some(receiver) = receiver else { continue };
-        let question = Message {
+        let request = Message {
             digest: Some(digest),
             ..Message::default()
         };
-        send(&state, &socket, &question, receiver);
+        send(&state, &socket, &request, receiver);
     }
 }
 
-/// Hash of a client account.
-pub fn account(tenant: Option<&str>) -> u32 {
-    order::hash(tenant.unwrap_or_default()) as u32
+/// Hash of a client account, by which crash reports refer to it.
+pub fn account_hash(account: Option<&str>) -> u32 {
+    order::hash(account.unwrap_or_default()) as u32
 }
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -1,4 +1,4 @@
-//! Digests of this zone for gateways of other zones, and theirs for the gateways of this one.
+//! Exchange of digests between zones: engine loads of this zone for other zones, and the reverse.
 
 use {
     crate::{
@@ -17,26 +17,26 @@
     tokio::net::UdpSocket,
 };
 
-/// Milliseconds between looks at whether a digest is due.
-const LOOK_MILLIS: u64 = 25;
+/// Interval between checks whether a digest is due.
+const POLL_INTERVAL_MILLIS: u64 = 25;
 
-/// Engines in one part: some 30 bytes each, so that a part fits into a datagram beside its gateways.
-const ENGINES_A_PART: usize = 24;
+/// Engines in one part of a digest, of about 30 bytes each, to fit into a datagram.
+const ENGINES_PER_PART: usize = 24;
 
-/// Gateways in one part, some 12 bytes each.
-const GATEWAYS_A_PART: usize = 32;
+/// Gateways in one part of a digest, of about 12 bytes each.
+const GATEWAYS_PER_PART: usize = 32;
 
-/// Most parts of one digest: what crosses between zones stays bounded, whatever their size.
-const MOST_PARTS: usize = 4;
+/// Most parts of one digest, which bounds the traffic between zones.
+const MAX_PARTS: usize = 4;
 
-/// Models that a digest names.
-const MOST_MODELS: usize = 8;
+/// Most models that one part names.
+const MAX_MODELS: usize = 8;
 
-/// Sends digests of this zone where it is this gateway's turn.
-pub async fn tell(state: Rc<State>, socket: Rc<UdpSocket>) {
+/// Sends digests of this zone's engines to other zones when it is this gateway's turn.
+pub async fn send_digests(state: Rc<State>, socket: Rc<UdpSocket>) {
     let mut turn = 0;
     loop {
-        clock::pause(LOOK_MILLIS).await;
+        clock::pause(POLL_INTERVAL_MILLIS).await;
         let now = clock::now();
         let receivers = state.zones.borrow_mut().poll(now);
         if receivers.is_empty() {
@@ -47,91 +47,91 @@
             let bytes = message::encode(&Datagram::Digest(part));
             for receiver in &receivers {
                 state.metrics.note_message(Kind::Digest, bytes.len());
-                // A datagram that can't be sent is as good as lost; the next one follows.
+                // A datagram that is not sent counts as lost; the next digest replaces it.
                 let _ = socket.try_send_to(&bytes, *receiver);
             }
         }
     }
 }
 
-/// Takes a digest of another zone, and passes it on to the gateways of this one.
-pub fn take(state: &State, socket: &UdpSocket, digest: Digest) {
+/// Applies a digest of another zone and forwards it to the gateways of this zone.
+pub fn receive_digest(state: &State, socket: &UdpSocket, digest: Digest) {
     let now = clock::now();
-    let heading = Heading {
+    let header = Heading {
         zone: &digest.zone,
         sender: digest.sender,
         stamp: digest.stamp,
         part: digest.part,
         gateway_count: digest.gateway_count,
     };
-    let was_heard = state.zones.borrow().is_heard(&digest.zone, now);
-    if state.zones.borrow_mut().take(&heading, now) == Reception::Old {
+    let was_reachable = state.zones.borrow().is_heard(&digest.zone, now);
+    if state.zones.borrow_mut().take(&header, now) == Reception::Old {
         return;
     }
-    if !was_heard {
-        tracing::info!(zone = digest.zone, sender = %digest.sender, "zone is heard through its gateways");
+    if !was_reachable {
+        tracing::info!(zone = digest.zone, sender = %digest.sender, "receiving digests from the gateways of another zone");
     }
-    note(state, &digest, now);
+    apply_digest(state, &digest, now);
     if digest.is_passed_on {
         return;
     }
-    let passed_on = Digest {
+    let forwarded = Digest {
         is_passed_on: true,
         ..digest
     };
-    let bytes = message::encode(&Datagram::Digest(passed_on));
+    let bytes = message::encode(&Datagram::Digest(forwarded));
     for neighbour in state.zones.borrow().neighbours() {
         state
             .metrics
             .note_message(Kind::DigestPassedOn, bytes.len());
-        // A datagram that can't be sent is as good as lost; the next one follows.
+        // A datagram that is not sent counts as lost; the next digest replaces it.
         let _ = socket.try_send_to(&bytes, neighbour);
     }
 }
 
-fn note(state: &State, digest: &Digest, now: Instant) {
+fn apply_digest(state: &State, digest: &Digest, now: Instant) {
     let mut zones = state.zones.borrow_mut();
     zones.note_member(&digest.zone, digest.sender, now);
     for gateway in &digest.gateways {
         zones.note_member(&digest.zone, *gateway, now);
     }
     let mut fleet = state.fleet.borrow_mut();
-    for told in &digest.engines {
-        let report = report_of(told, digest);
-        let known = fleet.at_address(told.address);
-        let Some(key) = fleet.incarnation(told.address, report.born) else {
+    for entry in &digest.engines {
+        let report = report_from(entry, digest);
+        let previous = fleet.at_address(entry.address);
+        let Some(key) = fleet.incarnation(entry.address, report.born) else {
             continue;
         };
-        if known != Some(key) {
+        if previous != Some(key) {
             fleet.engine_mut(key).warmth.note_doubt(now);
         }
-        let age = u64::from(told.age);
-        let at = Instant::from_millis(now.as_millis().saturating_sub(age));
+        let age_millis = u64::from(entry.age);
+        let at = Instant::from_millis(now.as_millis().saturating_sub(age_millis));
         fleet.engine_mut(key).note_passed_on(report, at);
     }
 }
 
-fn report_of(told: &DigestEngine, digest: &Digest) -> Report {
-    let held = told
+fn report_from(entry: &DigestEngine, digest: &Digest) -> Report {
+    let loaded = entry
         .held
         .iter()
-        .filter_map(|held| held.held(&digest.models));
-    let after = told.born_after.checked_sub(1);
+        .filter_map(|weights| weights.held(&digest.models));
+    let start_offset = entry.born_after.checked_sub(1);
     Report {
-        born: after.map(|after| Born(digest.first_born.saturating_add(after))),
-        held: held.collect(),
-        is_busy: told.is_busy,
+        born: start_offset.map(|offset| Born(digest.first_born.saturating_add(offset))),
+        held: loaded.collect(),
+        is_busy: entry.is_busy,
         sequence: 0,
-        queued: told.queued,
-        active: told.active,
+        queued: entry.queued,
+        active: entry.active,
         memory_used: 0,
         memory_total: 0,
-        unread_tokens: told.unread_tokens,
-        pace: f64::from(told.pace) / 1_000.0,
+        unread_tokens: entry.unread_tokens,
+        pace: f64::from(entry.pace) / 1_000.0,
     }
 }
 
-/// The digest of this zone, by parts; at each `turn` other gateways where not all of them fit in.
+/// Builds the digest of this zone in parts; gateways rotate with `turn` if they do not all fit.
 fn parts(state: &State, turn: usize, now: Instant) -> Vec<Digest> {
     let fleet = state.fleet.borrow();
     let own_zone = &state.settings.zone;
@@ -140,34 +140,34 @@
         .filter(|(_, engine)| engine.record.zone == *own_zone)
         .filter_map(|(_, engine)| Some((engine, engine.fresh_report(now)?)))
         .collect();
-    // Where not all fit in, others want to know of those that have most room.
+    // Keeps the engines with the most free capacity if they do not all fit.
     engines.sort_by_key(|(_, report)| (report.is_busy, report.queued + report.active));
-    engines.truncate(ENGINES_A_PART * MOST_PARTS);
+    engines.truncate(ENGINES_PER_PART * MAX_PARTS);
     let zones = state.zones.borrow();
     let gateways: Vec<SocketAddr> = {
         let own = std::iter::once(state.settings.peers);
         own.chain(zones.neighbours()).collect()
     };
-    let part_count = engines.len().div_ceil(ENGINES_A_PART).max(1);
-    let gateway_parts = gateways.chunks(GATEWAYS_A_PART).count();
-    let part = |number: usize| {
-        let told = engines.chunks(ENGINES_A_PART).nth(number);
+    let part_count = engines.len().div_ceil(ENGINES_PER_PART).max(1);
+    let gateway_chunks = gateways.chunks(GATEWAYS_PER_PART).count();
+    let part = |index: usize| {
+        let chunk = engines.chunks(ENGINES_PER_PART).nth(index);
         let mut models = Vec::new();
-        let told = told.unwrap_or_default();
-        let births = told.iter().filter_map(|(engine, _)| engine.born());
-        let first_born = births.min().map_or(0, |born| born.0);
-        let told = told.iter().map(|(engine, report)| DigestEngine {
+        let chunk = chunk.unwrap_or_default();
+        let start_times = chunk.iter().filter_map(|(engine, _)| engine.born());
+        let first_born = start_times.min().map_or(0, |born| born.0);
+        let entries = chunk.iter().map(|(engine, report)| DigestEngine {
             born_after: engine.born().map_or(0, |born| born.0 - first_born + 1),
-            ..told_of(engine, report, &mut models, now)
+            ..digest_engine(engine, report, &mut models, now)
         });
-        let engines = told.collect();
-        let gateway_part = (turn * part_count + number) % gateway_parts.max(1);
-        let gateways = gateways.chunks(GATEWAYS_A_PART).nth(gateway_part);
+        let engines = entries.collect();
+        let gateway_chunk = (turn * part_count + index) % gateway_chunks.max(1);
+        let gateways = gateways.chunks(GATEWAYS_PER_PART).nth(gateway_chunk);
         Digest {
             zone: own_zone.clone(),
             sender: state.settings.peers,
             stamp: now.as_millis(),
-            part: number as u32,
+            part: index as u32,
             gateway_count: zones.zone_count(own_zone),
             models,
             engines,
@@ -179,18 +179,18 @@
     (0..part_count).map(part).collect()
 }
 
-fn told_of(
+fn digest_engine(
     engine: &Engine,
     report: &Report,
     models: &mut Vec<String>,
     now: Instant,
 ) -> DigestEngine {
-    let held = report.held.iter();
-    let held = held.filter_map(|held| DigestHeld::new(held, models, MOST_MODELS));
+    let loaded = report.held.iter();
+    let loaded = loaded.filter_map(|weights| DigestHeld::new(weights, models, MAX_MODELS));
     DigestEngine {
         address: engine.record.address,
         age: engine.report_age(now).unwrap_or_default() as u32,
-        held: held.collect(),
+        held: loaded.collect(),
         is_busy: report.is_busy,
         queued: report.queued,
         active: report.active,
--- a/crates/gingerpier_gateway/tests/figures.rs
+++ b/crates/gingerpier_gateway/tests/figures.rs
@@ -1,4 +1,4 @@
-//! What gateways tell loaders: all that these need, and little.
+//! Messages about services and engines from gateways to loaders.
 
 use {
     gingerpier_base::Instant,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A configuration of some thousand routes and client accounts.
+/// A configuration with thousands of routes and client accounts.
 fn configuration(origin: Origin) -> Configuration {
     let route = |number: u32| Route {
         name: format!("route-{number}"),
@@ -67,7 +67,7 @@
         is_public: false,
         regions: Vec::new(),
     };
-    let tenant = |number: u32| Tenant {
+    let account = |number: u32| Tenant {
         name: format!("account-{number}"),
         priority: None,
         keys: vec![format!("secret-{number}")],
@@ -79,12 +79,12 @@
         service("origin", ServiceKind::Origin(origin)),
     ];
     let routes = (0..2_000).map(route).collect();
-    let tenants = (0..2_000).map(tenant).collect();
-    Configuration::new(7, Limits::default(), routes, services, tenants)
+    let accounts = (0..2_000).map(account).collect();
+    Configuration::new(7, Limits::default(), routes, services, accounts)
 }
 
 fn record(id: &str, zone: u8, number: u8, version: u64) -> Record {
-    let held = Held {
+    let loaded = Held {
         model: "m".to_owned(),
         version: Version(version),
     };
@@ -97,14 +97,14 @@
         slots: 16,
         cold_millis: 0,
         report: Report {
-            held: vec![held],
+            held: vec![loaded],
             ..Report::default()
         },
     }
 }
 
 #[test]
-fn a_loader_learns_what_it_needs_in_a_few_kilobytes() {
+fn message_omits_routes_and_accounts_and_round_trips() {
     let configuration = configuration(origin(8_006));
     let now = Instant::from_millis(0);
     let mut fleet = Fleet::default();
@@ -112,59 +112,62 @@
         let id = format!("engine-{number}");
         fleet.list(record(&id, number % 5, number, 3), Revision(1));
     }
-    let told = figures::figures(&configuration.services_part().for_loaders(), &fleet, now);
-    let bytes = message::encode(&told);
+    let message = figures::build(&configuration.services_part().for_loaders(), &fleet, now);
+    let bytes = message::encode(&message);
     assert!(bytes.len() < 8_000, "{} bytes", bytes.len());
     let text = String::from_utf8_lossy(&bytes);
-    for kept in ["secret", "account", "route-", "h.example", "plain"] {
-        assert!(!text.contains(kept), "{kept} is told");
+    for excluded in ["secret", "account", "route-", "h.example", "plain"] {
+        assert!(!text.contains(excluded), "{excluded} is in the message");
     }
-    let learnt = figures::told(message::decode(&bytes).expect("a message"));
-    let services = &learnt.services;
+    let decoded = figures::decode(message::decode(&bytes).expect("a message"));
+    let services = &decoded.services;
     assert_eq!(services.version, 7);
     assert_eq!(services.weights_digest(), configuration.weights_digest());
     assert_eq!(services.origin(), configuration.origin());
     assert_eq!(services.list(), &configuration.services()[1..]);
-    assert_eq!(learnt.fleet.of_service("models").count(), 204);
+    assert_eq!(decoded.fleet.of_service("models").count(), 204);
     for (_, engine) in fleet.listed() {
         let address = engine.record.address;
-        let key = learnt.fleet.at_address(address).expect("it was told");
-        let learnt = learnt.fleet.engine(key);
-        assert_eq!(learnt.record.zone, engine.record.zone);
-        assert_eq!(learnt.version_of("m", now), Some(Version(3)));
+        let key = decoded
+            .fleet
+            .at_address(address)
+            .expect("the engine is in the message");
+        let decoded_engine = decoded.fleet.engine(key);
+        assert_eq!(decoded_engine.record.zone, engine.record.zone);
+        assert_eq!(decoded_engine.version_of("m", now), Some(Version(3)));
     }
 }
 
 #[test]
-fn of_two_engines_at_one_address_the_one_that_is_there_is_told() {
+fn replaced_engine_at_a_reused_address_is_omitted() {
     let mut fleet = Fleet::default();
     fleet.list(record("new", 1, 1, 4), Revision(9));
     fleet.list(record("old", 1, 1, 2), Revision(3));
     let now = Instant::from_millis(0);
     let services = configuration(origin(8_006)).services_part().for_loaders();
-    let told = figures::figures(&services, &fleet, now);
-    assert_eq!(told.engines.len(), 1);
-    let learnt = figures::told(told).fleet;
-    let versions = learnt
+    let message = figures::build(&services, &fleet, now);
+    assert_eq!(message.engines.len(), 1);
+    let decoded = figures::decode(message).fleet;
+    let versions = decoded
         .listed()
         .map(|(_, engine)| engine.version_of("m", now));
     assert_eq!(versions.collect::<Vec<_>>(), [Some(Version(4))]);
 }
 
 #[test]
-fn the_digest_tells_a_changed_origin() {
+fn weights_digest_changes_with_the_origin() {
     let digest = |port| configuration(origin(port)).services_part().weights_digest();
     assert_eq!(digest(8_006), digest(8_006));
     assert_ne!(digest(8_006), digest(8_007));
 }
 
 #[test]
-fn an_engine_that_names_what_the_message_lacks_is_left_out() {
+fn engine_with_an_index_out_of_range_is_ignored() {
     let mut fleet = Fleet::default();
     fleet.list(record("a", 1, 1, 4), Revision(1));
     let now = Instant::from_millis(0);
     let services = configuration(origin(8_006)).services_part().for_loaders();
-    let mut told = figures::figures(&services, &fleet, now);
-    told.engines[0].zone = 9;
-    assert_eq!(figures::told(told).fleet.listed().count(), 0);
+    let mut message = figures::build(&services, &fleet, now);
+    message.engines[0].zone = 9;
+    assert_eq!(figures::decode(message).fleet.listed().count(), 0);
 }
