--- a/crates/gingerpier_gateway/src/client.rs
+++ b/crates/gingerpier_gateway/src/client.rs
@@ -1,15 +1,14 @@
-//! A connection to a server that is asked again and again.
+//! HTTP client with one persistent connection to a server.
 //!
-//! A long answer takes the time that it needs for as long as bytes come. Where none come, silence says little
-//! by itself: the server may be slow, the link full, or the connection dead. A client that was given a small
-//! question asks it on a connection of its own then. Where that is answered while the long answer still says
-//! nothing, the connection is dead; else the way is slow, and to ask anew would only fill it with an answer
-//! more.
+//! A long response may take any time while data arrives. When it stalls, a client with a probe
+//! request sends the probe over a new connection. If the server responds to the probe while the
+//! response stays silent, the connection is dead; otherwise the path is slow, and another request
+//! would only add load.
 
 use {
     crate::{
         clock, compression,
-        error::{Error, Step as At},
+        error::{Error, Step as Phase},
     },
     bytes::{Bytes, BytesMut},
     gingerpier_base::Instant,
@@ -23,33 +22,32 @@
     std::{cell::Cell, net::SocketAddr, rc::Rc},
 };
 
-/// Longest answer, in bytes.
+/// Largest response body in bytes.
 pub const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// Milliseconds without a byte after which the silence of an answer is looked into.
+/// Time without data after which a response counts as stalled.
 const STALL_MILLIS: u64 = 800;
 
-/// Milliseconds without a byte after which an answer is given up, whatever else is known: a connection may
-/// be dead for good.
-const MOST_SILENCE_MILLIS: u64 = 5_000;
+/// Time without data after which a request fails even if the path seems slow.
+const MAX_SILENCE_MILLIS: u64 = 5_000;
 
-/// Milliseconds that a small answer may take.
-const SMALL_MILLIS: u64 = 1_500;
+/// Timeout for a probe.
+const PROBE_TIMEOUT_MILLIS: u64 = 1_500;
 
-/// Milliseconds from a small question that failed, which it may have done at once, to the next one.
-const SMALL_AGAIN_MILLIS: u64 = 250;
+/// Least interval between probes.
+const PROBE_INTERVAL_MILLIS: u64 = 250;
 
-/// A connection to a server that is asked again and again.
+/// HTTP client with one persistent connection to a server.
 pub struct Client {
     peer: SocketAddr,
     connection: Option<Connection>,
-    takes_compressed: bool,
-    /// Longest body that is taken.
+    accepts_compression: bool,
+    /// Largest response body that is accepted.
     pub most_bytes: usize,
-    /// When bytes of an answer that was granted came last, where somebody wants to know.
-    heard: Option<Rc<Cell<Option<Instant>>>>,
-    /// Small question that tells a dead connection from a slow way.
-    small: Option<Call>,
+    /// Set to the time at which data of a successful response last arrived.
+    last_received: Option<Rc<Cell<Option<Instant>>>>,
+    /// Request that tells a dead connection from a slow path.
+    probe: Option<Call>,
 }
 
 impl Client {
@@ -58,102 +56,103 @@
         Self {
             peer,
             connection: None,
-            takes_compressed: false,
+            accepts_compression: false,
             most_bytes: MAX_ANSWER_BYTES,
-            heard: None,
-            small: None,
+            last_received: None,
+            probe: None,
         }
     }
 
-    /// Client that notes in `heard` when bytes of an answer that was granted came last.
-    pub fn noting(peer: SocketAddr, heard: Rc<Cell<Option<Instant>>>) -> Self {
+    /// Client that records in `last_received` when data of a successful response last arrived.
+    pub fn noting(peer: SocketAddr, last_received: Rc<Cell<Option<Instant>>>) -> Self {
         let mut client = Self::new(peer);
-        client.heard = Some(heard);
+        client.last_received = Some(last_received);
         client
     }
 
-    /// Client of another gateway, which may compress what it answers.
+    /// Client of another gateway, which accepts compressed responses.
     pub fn of_gateway(peer: SocketAddr) -> Self {
         let mut client = Self::new(peer);
-        client.takes_compressed = true;
+        client.accepts_compression = true;
         client
     }
 
-    /// The same, with a `small` question that tells a dead connection from a slow way.
-    pub fn patient(mut self, small: Call) -> Self {
-        self.small = Some(small);
+    /// Adds a `probe` request that tells a dead connection from a slow path.
+    pub fn patient(mut self, probe: Call) -> Self {
+        self.probe = Some(probe);
         self
     }
 
-    /// Server that it asks.
+    /// Server address.
     pub const fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Sends a call and reads its answer, which has to begin within `millis`, or later where the way is
-    /// seen to be slow. A long one takes the time that it needs for as long as bytes come.
+    /// Sends a call and reads its response, which has to begin within `millis`, or later if the
+    /// path is found to be slow.
     ///
     /// # Errors
     ///
-    /// Where the peer can't be reached or does not answer; the next call connects anew.
+    /// If the server can't be reached or doesn't respond in time. The next call opens a new
+    /// connection.
     pub async fn call(&mut self, call: &Call, millis: u64) -> Result<Whole, Error> {
-        let (peer, small) = (self.peer, self.small.clone());
-        let asked = clock::now();
+        let (peer, probe) = (self.peer, self.probe.clone());
+        let sent_at = clock::now();
         let last = Cell::new(None);
         let exchange = self.exchange(call, &last);
         tokio::pin!(exchange);
-        let late = Error::Late {
-            step: At::Exchange,
+        let timeout_error = Error::Late {
+            step: Phase::Exchange,
             peer,
         };
         loop {
-            let known = last.get();
-            let patience = match known {
-                Some(heard) => heard.after_millis(STALL_MILLIS),
-                None => asked.after_millis(millis),
+            let previous = last.get();
+            let deadline = match previous {
+                Some(last_received) => last_received.after_millis(STALL_MILLIS),
+                None => sent_at.after_millis(millis),
             };
-            if let Some(whole) = clock::before(patience, &mut exchange).await {
-                return whole;
+            if let Some(response) = clock::before(deadline, &mut exchange).await {
+                return response;
             }
-            if last.get() != known {
+            if last.get() != previous {
                 continue;
             }
-            let Some(small) = small.as_ref() else {
-                return Err(late);
+            let Some(probe) = probe.as_ref() else {
+                return Err(timeout_error);
             };
-            // What comes meanwhile ends the question.
-            let is_answered = tokio::select! {
+            // Data that arrives in the meantime cancels the probe.
+            let has_responded = tokio::select! {
                 biased;
-                whole = &mut exchange => return whole,
-                is_answered = is_answered(peer, small) => is_answered,
+                response = &mut exchange => return response,
+                has_responded = responds_to_probe(peer, probe) => has_responded,
             };
-            let silent = clock::now().millis_since(last.get().unwrap_or(asked));
-            if last.get() == known && (is_answered || silent > MOST_SILENCE_MILLIS) {
-                return Err(late);
+            let silence_millis = clock::now().millis_since(last.get().unwrap_or(sent_at));
+            if last.get() == previous && (has_responded || silence_millis > MAX_SILENCE_MILLIS) {
+                return Err(timeout_error);
             }
         }
     }
 
-    /// Sends a call and reads its answer; notes in `last` when bytes of it came last.
+    /// Sends a call and reads its response; sets `last` whenever data arrives.
     async fn exchange(
         &mut self,
         call: &Call,
         last: &Cell<Option<Instant>>,
     ) -> Result<Whole, Error> {
         let peer = self.peer;
-        let resting = self.connection.take();
-        let request = match self.takes_compressed {
-            true => bytes_of_compressible(call, peer),
-            false => bytes_of(call, peer),
+        let idle = self.connection.take();
+        let request = match self.accepts_compression {
+            true => encode_accepting_compression(call, peer),
+            false => encode(call, peer),
         };
-        let (mut connection, head) = begin(peer, resting, request).await?;
+        let (mut connection, head) = send_request(peer, idle, request).await?;
         last.set(Some(clock::now()));
         let body = self.read_body(&mut connection, &head, last).await?;
-        let whole = Whole { head, body };
-        if whole.head.keeps_alive() && connection.input.is_empty() {
+        let response = Whole { head, body };
+        if response.head.keeps_alive() && connection.input.is_empty() {
             self.connection = Some(connection);
         }
-        Ok(whole)
+        Ok(response)
     }
 
     async fn read_body(
@@ -163,46 +162,47 @@
         last: &Cell<Option<Instant>>,
     ) -> Result<Bytes, Error> {
         let peer = self.peer;
-        let step = At::Exchange;
-        let http = |what| Error::Http { step, peer, what };
-        let framing = head.framing().map_err(http)?;
+        let step = Phase::Exchange;
+        let http_error = |what| Error::Http { step, peer, what };
+        let framing = head.framing().map_err(http_error)?;
         if matches!(framing, Framing::Length(length) if length > self.most_bytes as u64) {
-            return Err(http(gingerpier_http1::error::Error::BodyTooLong));
+            return Err(http_error(gingerpier_http1::error::Error::BodyTooLong));
         }
         let mut decoder = Decoder::new(framing);
         let mut body = BytesMut::new();
         loop {
-            match connection.part(&mut decoder).await.map_err(http)? {
+            match connection.part(&mut decoder).await.map_err(http_error)? {
                 Part::End => return Ok(body.freeze()),
                 Part::Data(data) => body.extend_from_slice(&data),
             }
             let now = Some(clock::now());
             last.set(now);
-            // A refusal says nothing of what is in force.
-            if let Some(heard) = self.heard.as_ref().filter(|_| head.status == 200) {
-                heard.set(now);
+            // An error response doesn't confirm the server's data.
+            if let Some(last_received) = self.last_received.as_ref().filter(|_| head.status == 200)
+            {
+                last_received.set(now);
             }
             if body.len() > self.most_bytes {
-                return Err(http(gingerpier_http1::error::Error::BodyTooLong));
+                return Err(http_error(gingerpier_http1::error::Error::BodyTooLong));
             }
         }
     }
 }
 
-/// True where `peer` answers a small question on a new connection; false once it may be asked again.
-async fn is_answered(peer: SocketAddr, small: &Call) -> bool {
-    let asked = clock::now();
-    let deadline = asked.after_millis(SMALL_MILLIS);
-    let answer = clock::before(deadline, begin(peer, None, bytes_of(small, peer))).await;
-    let is_answered = answer.is_some_and(|answer| answer.is_ok());
-    if !is_answered {
-        clock::until(asked.after_millis(SMALL_AGAIN_MILLIS)).await;
+/// True if `peer` responds to a probe on a new connection; false once the next probe may be sent.
+async fn responds_to_probe(peer: SocketAddr, probe: &Call) -> bool {
+    let sent_at = clock::now();
+    let deadline = sent_at.after_millis(PROBE_TIMEOUT_MILLIS);
+    let result = clock::before(deadline, send_request(peer, None, encode(probe, peer))).await;
+    let has_responded = result.is_some_and(|result| result.is_ok());
+    if !has_responded {
+        clock::until(sent_at.after_millis(PROBE_INTERVAL_MILLIS)).await;
     }
-    is_answered
+    has_responded
 }
 
-/// Bytes of a call.
-pub fn bytes_of(call: &Call, host: SocketAddr) -> Vec<u8> {
+/// Encodes a call as an HTTP request.
+pub fn encode(call: &Call, host: SocketAddr) -> Vec<u8> {
     let message = Message::request(call.method.as_bytes(), call.target.as_bytes())
         .field(b"host", host.to_string().as_bytes());
     if call.body.is_empty() {
@@ -213,29 +213,29 @@
         .body(&call.body)
 }
 
-/// Bytes of a call without a body, whose answer may come compressed.
-fn bytes_of_compressible(call: &Call, host: SocketAddr) -> Vec<u8> {
+/// Encodes a call without a body whose response may be compressed.
+fn encode_accepting_compression(call: &Call, host: SocketAddr) -> Vec<u8> {
     Message::request(call.method.as_bytes(), call.target.as_bytes())
         .field(b"host", host.to_string().as_bytes())
-        .field(b"accept-encoding", compression::NAME.as_bytes())
+        .field(b"accept-encoding", compression::ENCODING.as_bytes())
         .end()
 }
 
-/// Sends a call and reads the head of its answer.
-async fn begin(
+/// Sends a request and reads the head of its response.
+async fn send_request(
     peer: SocketAddr,
-    resting: Option<Connection>,
+    idle: Option<Connection>,
     request: Vec<u8>,
 ) -> Result<(Connection, Response), Error> {
-    let mut connection = match resting {
+    let mut connection = match idle {
         Some(connection) if connection.is_idle() => connection,
         _ => Connection::connect(peer).await.map_err(|what| Error::Io {
-            step: At::Connect,
+            step: Phase::Connect,
             peer,
             what,
         })?,
     };
-    let step = At::Exchange;
+    let step = Phase::Exchange;
     let written = connection.write(&request).await;
     written.map_err(|what| Error::Io { step, peer, what })?;
     let head = connection.response().await;
--- a/crates/gingerpier_gateway/src/compression.rs
+++ b/crates/gingerpier_gateway/src/compression.rs
@@ -1,7 +1,6 @@
-//! Compressed bodies between gateways.
+//! Compression of bodies between gateways.
 //!
-//! A configuration may have a megabyte, and a gateway that watches the store tells it to a dozen others
-//! over a link of 40 Mbit/s, beside the answers of its callers. Its text shrinks to a fifth or less.
+//! Configurations are large texts that compress to a fifth or less.
 
 use {
     flate2::{
@@ -11,39 +10,39 @@
     std::io::{self, Read},
 };
 
-/// Name of the encoding in header fields.
-pub const NAME: &str = "deflate";
+/// Content coding in header fields.
+pub const ENCODING: &str = "deflate";
 
-/// Least bytes that are compressed: less fits into a few packets.
-const LEAST_BYTES: usize = 4 * 1024;
+/// Shorter bodies fit into a few packets and aren't compressed.
+const MIN_BYTES: usize = 4 * 1024;
 
-/// `body` compressed; nothing where it is short.
-pub fn shrink(body: &[u8]) -> Option<Vec<u8>> {
-    if body.len() < LEAST_BYTES {
+/// Compresses `body`; none if it is short.
+pub fn compress(body: &[u8]) -> Option<Vec<u8>> {
+    if body.len() < MIN_BYTES {
         return None;
     }
-    let mut shrunk = Vec::with_capacity(body.len() / 4);
+    let mut compressed = Vec::with_capacity(body.len() / 4);
     let mut encoder = DeflateEncoder::new(body, Compression::fast());
-    match encoder.read_to_end(&mut shrunk) {
-        Ok(_) => Some(shrunk),
+    match encoder.read_to_end(&mut compressed) {
+        Ok(_) => Some(compressed),
         Err(error) => {
-            tracing::warn!(cause = %error, "a body is sent uncompressed");
+            tracing::warn!(cause = %error, "compression failed; sending the body uncompressed");
             None
         }
     }
 }
 
-/// What `shrunk` was made from, at most `most` bytes.
+/// Decompresses to at most `max_bytes`.
 ///
 /// # Errors
 ///
-/// Where it is not compressed as told, or longer.
-pub fn expand(shrunk: &[u8], most: usize) -> io::Result<Vec<u8>> {
-    let mut body = Vec::with_capacity(shrunk.len() * 4);
-    let mut decoder = DeflateDecoder::new(shrunk).take(most as u64 + 1);
+/// If the input is malformed or decompresses to more than `max_bytes`.
+pub fn decompress(compressed: &[u8], max_bytes: usize) -> io::Result<Vec<u8>> {
+    let mut body = Vec::with_capacity(compressed.len() * 4);
+    let mut decoder = DeflateDecoder::new(compressed).take(max_bytes as u64 + 1);
     decoder.read_to_end(&mut body)?;
-    if body.len() > most {
-        return Err(io::Error::other("a compressed body is too long"));
+    if body.len() > max_bytes {
+        return Err(io::Error::other("decompressed body exceeds the size limit"));
     }
     Ok(body)
 }
--- a/crates/gingerpier_gateway/src/discovery.rs
+++ b/crates/gingerpier_gateway/src/discovery.rs
@@ -1,9 +1,8 @@
-//! How a gateway that starts finds others of its zone.
+//! Discovery of other gateways in the availability zone by a starting gateway.
 //!
-//! Gateways that the settings name as seeds are asked for names, and learn that the asker is there: after a
-//! restart of everything they know nobody either, and those that ask them meet so. Where no seed answers,
-//! the list of engines is read from the store, which is small beside a configuration, and the loaders of those
-//! machines name the gateways that want reports of them.
+//! A starting gateway sends hellos to its seeds, which reply with gateways that they know and learn
+//! about the sender. Without a reply, it reads the engine list from the store, and subscribes to
+//! the loaders of these engines, which list other subscribers.
 
 use {
     crate::{
@@ -17,19 +16,20 @@
     tokio::net::UdpSocket,
 };
 
-/// Milliseconds between greetings.
-const HELLO_EVERY_MILLIS: u64 = 50;
+/// Interval between hellos.
+const HELLO_INTERVAL_MILLIS: u64 = 50;
 
-/// Milliseconds without a name after which the list of engines is read.
-const SEEDS_MILLIS: u64 = 150;
+/// Time without a known gateway after which the engine list is read.
+const SEED_TIMEOUT_MILLIS: u64 = 150;
 
-/// Most milliseconds of the pause after the list could not be read, or named nobody: an answer may be old.
-const RETRY_MILLIS: u64 = 1_000;
+/// Pause after an engine list without engines of this zone, which may be stale, and longest pause
+/// after a failed read.
+const MAX_RETRY_PAUSE_MILLIS: u64 = 1_000;
 
-/// Gateways that one answer names: more would not fit into a datagram.
-const MOST_NAMED: usize = 32;
+/// Gateways in one reply; limited by the datagram size.
+const MAX_LISTED: usize = 32;
 
-/// Greets seeds until the first copy of the store is there.
+/// Sends hellos to seeds until a configuration is known.
 pub async fn greet(state: Rc<State>, socket: Rc<UdpSocket>) {
     let own = state.settings.peers;
     let hello = message::encode(&Datagram::Hello(Member {
@@ -42,85 +42,88 @@
     let seeds: Vec<SocketAddr> = seeds.filter(|seed| *seed != own).collect();
     while state.configuration().is_none() {
         for seed in &seeds {
-            // A datagram that can't be sent is as good as lost; the next one follows.
+            // A lost datagram is replaced by the next hello.
             let _ = socket.try_send_to(&hello, *seed);
         }
-        clock::pause(HELLO_EVERY_MILLIS).await;
+        clock::pause(HELLO_INTERVAL_MILLIS).await;
     }
 }
 
-/// Answers a gateway that starts with the names of others of its zone.
+/// Replies to a hello with other gateways of the sender's zone.
 pub fn answer(state: &State, socket: &UdpSocket, from: SocketAddr, member: Member) {
     let now = clock::now();
     let mut zones = state.zones.borrow_mut();
     let own = (state.settings.zone.as_str(), state.settings.peers);
-    let known = zones.living(now).filter(|one| *one != own).chain([own]);
-    let named = named(known, &member, from);
+    let known = zones
+        .living(now)
+        .filter(|gateway| *gateway != own)
+        .chain([own]);
+    let listed = select_gateways(known, &member, from);
     if let Ok(address) = member.address.parse() {
         zones.note_member(&member.zone, address, now);
     }
     drop(zones);
-    let names = message::encode(&Datagram::Names(Names {
-        gateways: named,
+    let reply = message::encode(&Datagram::Names(Names {
+        gateways: listed,
         probe: None,
     }));
-    // A datagram that can't be sent is as good as lost; the asker greets again.
-    let _ = socket.try_send_to(&names, from);
+    // A lost datagram is replaced by the reply to the next hello.
+    let _ = socket.try_send_to(&reply, from);
 }
 
-/// Some of the `known` gateways of the zone of `member`, which greeted from `from`.
-fn named<'a>(
+/// Random selection of `known` gateways in the zone of `member`, without the sender `from`.
+fn select_gateways<'a>(
     known: impl Iterator<Item = (&'a str, SocketAddr)>,
     member: &Member,
     from: SocketAddr,
 ) -> Vec<Member> {
-    let near = known.filter(|(zone, address)| *zone == member.zone && *address != from);
-    let mut near: Vec<Member> = near
+    let in_zone = known.filter(|(zone, address)| *zone == member.zone && *address != from);
+    let mut members: Vec<Member> = in_zone
         .map(|(zone, address)| Member {
             address: address.to_string(),
             zone: zone.to_owned(),
             probe: None,
         })
         .collect();
-    fastrand::shuffle(&mut near);
-    near.truncate(MOST_NAMED);
-    near
+    fastrand::shuffle(&mut members);
+    members.truncate(MAX_LISTED);
+    members
 }
 
-/// Reads the list of engines where nobody has named another gateway of this zone.
+/// Reads the engine list until another gateway or a loader of this zone is known.
 pub async fn look(state: Rc<State>) {
-    clock::pause(SEEDS_MILLIS).await;
+    clock::pause(SEED_TIMEOUT_MILLIS).await;
     let mut client = store::client(state.settings.store, state.dialect);
-    while is_lost(&state) {
+    while is_isolated(&state) {
         state.metrics.store_calls.inc();
         match store::read_all(&mut client, state.dialect, Scope::Engines, true).await {
             Ok(copy) => {
                 let records = copy.items.iter().filter_map(|item| state.items.read(item));
-                let near = records.filter_map(|fact| match fact {
+                let loaders = records.filter_map(|fact| match fact {
                     Fact::Engine(record) if record.zone == state.settings.zone => {
                         Some(record.address.ip())
                     }
                     _ => None,
                 });
-                *state.first_loaders.borrow_mut() = near.collect();
+                *state.first_loaders.borrow_mut() = loaders.collect();
                 tracing::info!(
                     loaders = state.first_loaders.borrow().len(),
-                    "list of engines read, to find other gateways"
+                    "engine list read to discover gateways"
                 );
                 if !state.first_loaders.borrow().is_empty() {
                     return;
                 }
-                clock::pause(RETRY_MILLIS).await;
+                clock::pause(MAX_RETRY_PAUSE_MILLIS).await;
             }
             Err(error) => {
                 state.note_store_failure(&error);
-                clock::pause(fastrand::u64(..RETRY_MILLIS)).await;
+                clock::pause(fastrand::u64(..MAX_RETRY_PAUSE_MILLIS)).await;
             }
         }
     }
 }
 
-/// True while this gateway knows neither a configuration nor another gateway.
-fn is_lost(state: &State) -> bool {
+/// True while neither a configuration nor another gateway is known.
+fn is_isolated(state: &State) -> bool {
     state.configuration().is_none() && state.neighbours().is_empty()
 }
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -1,11 +1,12 @@
-//! The loader: weights for the engine of its own machine, and reports of its load.
+//! Loader: updates the weights of the engine on its machine and reports the engine's load to
+//! gateways.
 
-pub mod bring;
-mod change;
-pub mod follow;
+mod activation;
 pub mod report;
+pub mod sync;
+pub mod update;
 mod versions;
-mod waiting;
+mod wait_log;
 
 use {
     crate::{
@@ -42,115 +43,115 @@
     },
 };
 
-/// A gateway that wants reports.
+/// A gateway that subscribed to load reports.
 #[derive(Debug, Clone)]
 pub struct Subscriber {
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
-    /// Stamp of its last word, by its own clock.
+    /// Timestamp of its last subscription message, by its own clock.
     pub stamp: u64,
-    /// When it last asked.
-    pub at: Instant,
-    /// True once it was told of gateways.
-    pub has_gateways: bool,
-    /// Version of the configuration that it knows.
-    pub configuration: u64,
-    /// What that says of engines and origins, as a digest.
+    /// Time of its last subscription message.
+    pub last_seen: Instant,
+    /// True once the gateway list was sent to it.
+    pub has_gateway_list: bool,
+    /// Configuration version known to it.
+    pub configuration_version: u64,
+    /// Digest of the engines and origins in that configuration.
     pub weights_digest: u64,
-    /// Weights that it says are to be had although nobody named them.
+    /// Unreleased versions that it reports as available.
     pub unnamed: Vec<message::Unnamed>,
 }
 
 /// A machine with an engine of the same service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Address of its machine.
+    /// IP address of the machine.
     pub ip: IpAddr,
-    /// Zone.
+    /// Availability zone.
     pub zone: String,
 }
 
 impl Peer {
-    /// Number that names it in plans.
+    /// Stable id in distribution plans.
     pub fn identity(&self) -> u64 {
         order::hash(&self.ip)
     }
 }
 
-/// What a loader knows.
+/// State of a loader.
 pub struct Loader {
     /// Settings.
     pub settings: Settings,
-    /// Where gateways that the settings name answer loaders.
+    /// Addresses of the seed gateways for loaders.
     seeds: Vec<SocketAddr>,
-    /// Words of the platform.
+    /// Platform adapter.
     pub dialect: &'static dyn Dialect,
-    /// Reader of the store's items.
+    /// Parser of store items.
     pub items: Reader,
-    /// Chunks held and on their way.
+    /// Chunk cache and transfers.
     pub carrier: Rc<Carrier>,
-    /// Gateways that want reports.
+    /// Subscribed gateways by address.
     pub subscribers: RefCell<BTreeMap<SocketAddr, Subscriber>>,
-    /// Last report of the engine.
+    /// Last report of the engine; none while it doesn't respond.
     pub report: RefCell<Option<Report>>,
-    /// Prompts that the engine has yet to read.
+    /// Estimate of unread prompt tokens.
     backlog: RefCell<Backlog>,
-    /// Held while chunks are laid at the engine and until it has taken them.
-    pub engine_turn: Mutex<()>,
-    /// True while an order is about to be given.
-    is_ordering: Cell<bool>,
-    /// Tells that gateways have to hear something at once.
-    pub news: Notify,
-    /// Revision of the store up to which named weights are known.
-    at: Cell<Revision>,
+    /// Held while chunks are staged at the engine and until it has loaded them.
+    pub engine_lock: Mutex<()>,
+    /// True while an order is about to be sent.
+    is_order_pending: Cell<bool>,
+    /// Notified when a report has to be sent at once.
+    pub urgent_report: Notify,
+    /// Store revision up to which releases are known.
+    revision: Cell<Revision>,
     fleet: RefCell<Fleet>,
     services: RefCell<Option<Services>>,
-    namings: RefCell<HashMap<String, Namings>>,
-    /// Versions whose chunks are all here, and since when.
-    complete: RefCell<Vec<NamedAt>>,
-    /// How long others are waited for, where no weights are known.
-    patience: RefCell<Patience>,
+    releases: RefCell<HashMap<String, Namings>>,
+    /// Versions whose chunks are all cached, and since when.
+    complete_versions: RefCell<Vec<NamedAt>>,
+    /// Decides when to fetch from the origin without a known version.
+    origin_fallback: RefCell<Patience>,
 }
 
 impl Loader {
-    /// Loader that starts now.
+    /// Creates a loader without any data.
     pub fn new(settings: Settings, dialect: &'static dyn Dialect) -> Self {
         let link = settings.link_bits_per_second;
-        let carrier = Rc::new(Carrier::beside(dialect, settings.engine, link));
+        let carrier = Rc::new(Carrier::for_engine(dialect, settings.engine, link));
         Self {
             seeds: Self::seeds(&settings),
             settings,
             dialect,
             items: Reader::new(dialect),
             carrier,
-            engine_turn: Mutex::new(()),
+            engine_lock: Mutex::new(()),
             subscribers: RefCell::default(),
             report: RefCell::default(),
             backlog: RefCell::default(),
-            is_ordering: Cell::new(false),
-            news: Notify::new(),
-            at: Cell::default(),
+            is_order_pending: Cell::new(false),
+            urgent_report: Notify::new(),
+            revision: Cell::default(),
             fleet: RefCell::default(),
             services: RefCell::default(),
-            namings: RefCell::default(),
-            complete: RefCell::default(),
-            patience: RefCell::default(),
+            releases: RefCell::default(),
+            complete_versions: RefCell::default(),
+            origin_fallback: RefCell::default(),
         }
     }
 
-    /// Model that the engine is for.
+    /// Model of the engine; none until the services are known.
     pub fn model(&self) -> Option<String> {
         let fleet = self.fleet.borrow();
         let services = self.services.borrow();
         let own = fleet.at_address(self.settings.engine);
         let own = own.map(|key| &fleet.engine(key).record.service);
         services.as_ref()?.engines().find_map(|(service, engines)| {
-            let fits = own.is_none_or(|own| *own == service.name);
-            engines.models.first().filter(|_| fits).cloned()
+            let is_candidate = own.is_none_or(|own| *own == service.name);
+            engines.models.first().filter(|_| is_candidate).cloned()
         })
     }
 
-    /// Prompt tokens that the engine has yet to read, by its next `report`.
+    /// Prompt tokens that the engine has admitted but not yet read, estimated from `report`.
     pub fn unread_tokens(&self, report: &Report) -> u64 {
         let services = self.services.borrow();
         let Some((_, engines)) = services.iter().flat_map(Services::engines).next() else {
@@ -161,17 +162,17 @@
             .note(report, engines, clock::now())
     }
 
-    /// Forgets what the engine had admitted, as it started again.
-    pub fn forget_backlog(&self) {
+    /// Resets the estimate of unread tokens after an engine restart.
+    pub fn reset_backlog(&self) {
         *self.backlog.borrow_mut() = Backlog::default();
     }
 
-    /// Where weights come from.
+    /// Origin of weights.
     pub fn origin(&self) -> Option<Origin> {
         self.services.borrow().as_ref().and_then(Services::origin)
     }
 
-    /// Machines with engines for the same model, this one included.
+    /// Machines with engines of the same service, this one first.
     pub fn peers(&self) -> Vec<Peer> {
         let fleet = self.fleet.borrow();
         let own = self.settings.engine;
@@ -184,7 +185,7 @@
             zone: self.settings.zone.clone(),
         }];
         known.insert(own.ip());
-        let service = service.or_else(|| self.engine_service());
+        let service = service.or_else(|| self.first_service());
         let Some(service) = service else { return peers };
         for (_, engine) in fleet.of_service(&service) {
             let ip = engine.record.address.ip();
@@ -196,8 +197,8 @@
         peers
     }
 
-    /// Tells `fleet` the services that engines may be of, where they are known.
-    pub fn name_services(&self, fleet: &mut Fleet) {
+    /// Sets the service names of `fleet`, if known.
+    pub fn set_fleet_services(&self, fleet: &mut Fleet) {
         let services = self.services.borrow();
         if let Some(services) = services.as_ref() {
             let names = services.engines().map(|(service, _)| service.name.clone());
@@ -205,15 +206,15 @@
         }
     }
 
-    fn engine_service(&self) -> Option<String> {
+    fn first_service(&self) -> Option<String> {
         let services = self.services.borrow();
         let (service, _) = services.as_ref()?.engines().next()?;
         Some(service.name.clone())
     }
 
-    /// Takes what operators say of services, unless something newer is known. Those without a version
-    /// are as new as the answer that brought them.
-    pub fn note_services(&self, services: Services) {
+    /// Replaces the services unless a newer version is known. Services without a version always
+    /// replace the known ones.
+    pub fn update_services(&self, services: Services) {
         let mut known = self.services.borrow_mut();
         let last = known.as_ref().map_or(0, |known| known.version);
         if services.version > 0 && services.version < last {
@@ -224,17 +225,17 @@
         *known = Some(services);
     }
 
-    /// Gateways that asked for reports lately.
+    /// Subscribed gateways.
     pub fn gateways(&self) -> Vec<GatewayPlace> {
         let subscribers = self.subscribers.borrow();
-        let place = |(address, subscriber): (&SocketAddr, &Subscriber)| GatewayPlace {
+        let location = |(address, subscriber): (&SocketAddr, &Subscriber)| GatewayPlace {
             address: *address,
             zone: subscriber.zone.clone(),
         };
-        subscribers.iter().map(place).collect()
+        subscribers.iter().map(location).collect()
     }
 
-    /// What is known of services, measured by what gateways know.
+    /// Whether the known services are as new as those of the gateways.
     pub fn knowledge(&self) -> Knowledge {
         let services = self.services.borrow();
         let Some(services) = services.as_ref() else {
@@ -244,105 +245,114 @@
         let subscribers = self.subscribers.borrow();
         let newest = subscribers
             .values()
-            .max_by_key(|subscriber| subscriber.configuration);
-        let is_enough = newest.is_none_or(|newest| {
-            newest.weights_digest == known || newest.configuration <= services.version
+            .max_by_key(|subscriber| subscriber.configuration_version);
+        let is_current = newest.is_none_or(|newest| {
+            newest.weights_digest == known || newest.configuration_version <= services.version
         });
-        match is_enough {
+        match is_current {
             true => Knowledge::Enough,
             false => Knowledge::Outdated,
         }
     }
 
-    /// Gateways that may be asked for figures: those with the newest configuration, of this zone where
-    /// there are any. One that starts wants reports before it knows a configuration, and can tell nothing.
-    pub fn tellers(&self) -> Vec<SocketAddr> {
+    /// Gateways to poll for the configuration: those with its newest version, preferably in this
+    /// zone. A starting gateway subscribes before it knows any.
+    pub fn informed_gateways(&self) -> Vec<SocketAddr> {
         let subscribers = self.subscribers.borrow();
-        let versions = subscribers.values().map(|one| one.configuration);
+        let versions = subscribers
+            .values()
+            .map(|subscriber| subscriber.configuration_version);
         let newest = versions.max();
-        let knowing = subscribers
-            .iter()
-            .filter(|(_, one)| Some(one.configuration) == newest && one.weights_digest != 0);
-        let (near, afar): (Vec<_>, Vec<_>) =
-            knowing.partition(|(_, one)| one.zone == self.settings.zone);
-        let chosen = if near.is_empty() { afar } else { near };
+        let informed = subscribers.iter().filter(|(_, subscriber)| {
+            Some(subscriber.configuration_version) == newest && subscriber.weights_digest != 0
+        });
+        let (own_zone, other_zones): (Vec<_>, Vec<_>) =
+            informed.partition(|(_, subscriber)| subscriber.zone == self.settings.zone);
+        let chosen = if own_zone.is_empty() {
+            other_zones
+        } else {
+            own_zone
+        };
         chosen.into_iter().map(|(address, _)| *address).collect()
     }
 
-    /// Where gateways that the settings name answer loaders.
     fn seeds(settings: &Settings) -> Vec<SocketAddr> {
         let port = settings.peers.port();
         let seeds = settings.seeds.iter();
         seeds.map(|seed| SocketAddr::new(seed.ip(), port)).collect()
     }
 
-    /// What is heard, where `tellers` may be asked.
-    pub fn heard<'t>(&'t self, tellers: &'t [SocketAddr]) -> Heard<'t> {
+    /// Gateways known to this loader; `informed_gateways` may be polled.
+    pub fn view<'t>(&'t self, informed_gateways: &'t [SocketAddr]) -> Heard<'t> {
         Heard {
-            gateways: tellers,
+            gateways: informed_gateways,
             seeds: &self.seeds,
             near_count: self.near_gateway_count(),
             knowledge: self.knowledge(),
         }
     }
 
-    /// Gateways of this zone that want reports.
+    /// Number of subscribed gateways in this zone.
     pub fn near_gateway_count(&self) -> usize {
         let subscribers = self.subscribers.borrow();
-        let near = subscribers.values();
-        near.filter(|subscriber| subscriber.zone == self.settings.zone)
+        let values = subscribers.values();
+        values
+            .filter(|subscriber| subscriber.zone == self.settings.zone)
             .count()
     }
 
-    /// True while an order is about to be given.
-    pub fn is_ordering(&self) -> bool {
-        self.is_ordering.get()
+    /// True while an order is about to be sent.
+    pub fn is_order_pending(&self) -> bool {
+        self.is_order_pending.get()
     }
 
-    /// Notes whether an order is about to be given; gateways hear of it at once.
-    pub fn set_ordering(&self, is_ordering: bool) {
-        if self.is_ordering.replace(is_ordering) != is_ordering {
-            self.news.notify_one();
+    /// Sets whether an order is about to be sent; reports a change at once.
+    pub fn set_order_pending(&self, is_order_pending: bool) {
+        if self.is_order_pending.replace(is_order_pending) != is_order_pending {
+            self.urgent_report.notify_one();
         }
     }
 
-    /// True where the engine answers and carries out no order.
-    pub fn is_engine_free(&self) -> bool {
+    /// True if the engine responds and carries out no order.
+    pub fn is_engine_idle(&self) -> bool {
         let report = self.report.borrow();
         report.as_ref().is_some_and(|report| !report.is_busy)
     }
 }
 
-/// Runs a loader until it is told to stop.
+/// Runs a loader until it receives SIGTERM.
 ///
 /// # Errors
 ///
-/// Where it can't start.
+/// If a socket can't be bound or a signal handler can't be installed.
 pub async fn run(settings: Settings, dialect: &'static dyn Dialect) -> Result<(), Error> {
     let lines = log::start();
     let peer = settings.peers;
-    let at = |step| move |what| Error::Io { step, peer, what };
+    let bind_error = |step| move |what| Error::Io { step, peer, what };
     let listener = TcpListener::bind(peer).await;
-    let listener = listener.map_err(at(Step::ListenPeers))?;
+    let listener = listener.map_err(bind_error(Step::ListenPeers))?;
     let socket = UdpSocket::bind(peer).await;
-    let socket = Rc::new(socket.map_err(at(Step::ListenPeers))?);
+    let socket = Rc::new(socket.map_err(bind_error(Step::ListenPeers))?);
     let terminate = signal(SignalKind::terminate());
-    let mut terminate = terminate.map_err(at(Step::Signals))?;
+    let mut terminate = terminate.map_err(bind_error(Step::Signals))?;
     let hangup = signal(SignalKind::hangup());
-    let mut hangup = hangup.map_err(at(Step::Signals))?;
+    let mut hangup = hangup.map_err(bind_error(Step::Signals))?;
     tracing::info!(name = settings.name, zone = settings.zone, engine = %settings.engine, "loader starts");
     let loader = Rc::new(Loader::new(settings, dialect));
     actix_rt::spawn(clock::watch());
-    actix_rt::spawn(follow::follow(loader.clone()));
+    actix_rt::spawn(sync::run(loader.clone()));
     actix_rt::spawn(peers::serve(loader.carrier.clone(), listener));
-    actix_rt::spawn(report::take(loader.clone(), socket.clone()));
-    actix_rt::spawn(report::send(loader.clone(), socket));
-    actix_rt::spawn(waiting::tell(loader.clone()));
-    actix_rt::spawn(bring::keep(loader));
+    actix_rt::spawn(report::receive_subscriptions(
+        loader.clone(),
+        socket.clone(),
+    ));
+    actix_rt::spawn(report::run(loader.clone(), socket));
+    actix_rt::spawn(wait_log::run(loader.clone()));
+    actix_rt::spawn(update::run(loader));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => tracing::info!("settings changed; they hold from the next start"),
+            _ = hangup.recv() => tracing::info!("SIGHUP received; changed settings take effect at the next start"),
         }
     }
     tracing::info!("loader stops");
--- /dev/null
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -0,0 +1,215 @@
+//! Keeps a loader's services, engines and releases up to date. Polls gateways, and the store where
+//! no gateway responds.
+
+use {
+    super::Loader,
+    crate::{client::Client, clock, error::Error, figures, store},
+    gingerpier_base::order,
+    gingerpier_serving::{
+        asking::{Asking, Knowledge, Source, Step},
+        dialect::{Fact, Scope, Watched},
+        fleet::Fleet,
+        mirror::{Item, Revision},
+        naming::{OWN, Teller},
+    },
+    std::{net::SocketAddr, rc::Rc},
+};
+
+/// Longest time that a watch waits for changes.
+const WATCH_TIMEOUT_MILLIS: u64 = 20_000;
+
+/// Pause between watches, which batches changes and limits reads from a store that keeps no
+/// history.
+const WATCH_PAUSE_MILLIS: u64 = 400;
+
+/// Interval between checks for reachable gateways.
+const POLL_INTERVAL_MILLIS: u64 = 100;
+
+/// Gateways polled for engines before the store is.
+const MAX_GATEWAY_ATTEMPTS: usize = 2;
+
+/// Polls for configuration and releases forever.
+///
+/// Loaders read their part of the large configuration from gateways. They watch the store for
+/// releases only if few gateways report them, as each watch costs a store call.
+pub async fn run(loader: Rc<Loader>) {
+    let settings = &loader.settings;
+    let mut asking = Asking::new(settings.peers, settings.regions.len(), clock::now());
+    let mut client = store::client(settings.store, loader.dialect);
+    let mut is_current = false;
+    loop {
+        match next_step(&loader, &mut asking) {
+            Step::Gateway(gateway) => {
+                let result = query_gateway(&loader, gateway).await;
+                record_result(&loader, &mut asking, Source::Gateway, result);
+            }
+            Step::Store => {
+                // A gateway heard of during the read sends far less data than the store. Known
+                // gateways have already failed.
+                let has_no_informed_gateway = loader.informed_gateways().is_empty();
+                let result = tokio::select! {
+                    result = read_store(&loader, &mut client, Scope::Operators) => result,
+                    () = wait_for_informed_gateway(&loader), if has_no_informed_gateway => continue,
+                };
+                is_current = result.is_ok();
+                record_result(&loader, &mut asking, Source::Store, result);
+            }
+            Step::Weights if !is_current => {
+                let result = read_store(&loader, &mut client, Scope::Weights).await;
+                is_current = result.is_ok();
+                record_store_result(&mut asking, result);
+            }
+            Step::Weights => {
+                let scope = watch_scope(&loader);
+                let watched = tokio::select! {
+                    watched = watch_store(&loader, &mut client, scope) => Some(watched),
+                    () = wait_for_other_step(&loader, &mut asking, scope) => None,
+                };
+                if let Some(watched) = watched {
+                    is_current = matches!(watched, Ok(true));
+                    record_store_result(&mut asking, watched.map(drop));
+                    clock::pause(WATCH_PAUSE_MILLIS).await;
+                }
+            }
+            Step::Wait(until) => {
+                let next_check = clock::now().after_millis(POLL_INTERVAL_MILLIS);
+                clock::until(until.min(next_check)).await;
+            }
+        }
+    }
+}
+
+fn next_step(loader: &Loader, asking: &mut Asking) -> Step {
+    let gateways = loader.informed_gateways();
+    asking.next(&loader.view(&gateways), clock::now())
+}
+
+/// Scope of the store watch. Without any gateway it includes configurations; the next gateway
+/// reports those that were written before.
+fn watch_scope(loader: &Loader) -> Scope {
+    match loader.subscribers.borrow().is_empty() {
+        true => Scope::Operators,
+        false => Scope::Weights,
+    }
+}
+
+/// Returns once a gateway with a known configuration exists.
+async fn wait_for_informed_gateway(loader: &Loader) {
+    while loader.informed_gateways().is_empty() {
+        clock::pause(POLL_INTERVAL_MILLIS).await;
+    }
+}
+
+/// Returns once another step is due or the watch covers configurations needlessly, as all loaders
+/// would read the next one at once.
+async fn wait_for_other_step(loader: &Loader, asking: &mut Asking, scope: Scope) {
+    loop {
+        let is_due = matches!(next_step(loader, asking), Step::Gateway(_) | Step::Store);
+        let is_too_wide = scope == Scope::Operators && watch_scope(loader) == Scope::Weights;
+        if is_due || is_too_wide {
+            return;
+        }
+        clock::pause(POLL_INTERVAL_MILLIS).await;
+    }
+}
+
+/// Records the result of a configuration poll; data older than that of gateways counts as a
+/// failure.
+fn record_result(loader: &Loader, asking: &mut Asking, source: Source, result: Result<(), Error>) {
+    let knowledge = loader.knowledge();
+    match &result {
+        Ok(()) if knowledge == Knowledge::Enough => return asking.note_answer(source),
+        Ok(()) => tracing::warn!(
+            ?source,
+            ?knowledge,
+            "service configuration is older than that of known gateways"
+        ),
+        Err(error) => tracing::warn!(?source, cause = %error, "service configuration not received"),
+    }
+    asking.note_failure(source, clock::now(), fastrand::u64(..));
+}
+
+/// Records the result of a store read or watch for releases.
+fn record_store_result(asking: &mut Asking, result: Result<(), Error>) {
+    match result {
+        Ok(()) => asking.note_answer(Source::Weights),
+        Err(error) => {
+            tracing::warn!(cause = %error, "store does not answer");
+            asking.note_failure(Source::Weights, clock::now(), fastrand::u64(..));
+        }
+    }
+}
+
+async fn query_gateway(loader: &Loader, gateway: SocketAddr) -> Result<(), Error> {
+    let response = figures::ask(gateway).await?;
+    loader.update_services(response.services);
+    // Kept apart from the gateway's subscriptions, which report more precise ages.
+    let source = Teller(!order::hash(&gateway));
+    for release in response.named {
+        loader.note_peer_release(release, source);
+    }
+    *loader.fleet.borrow_mut() = response.fleet;
+    Ok(())
+}
+
+/// Refreshes the engine list from a gateway, or else by a stale store read.
+pub async fn refresh_engines(loader: &Loader) {
+    let mut gateways = loader.informed_gateways();
+    fastrand::shuffle(&mut gateways);
+    for gateway in gateways.into_iter().take(MAX_GATEWAY_ATTEMPTS) {
+        match query_gateway(loader, gateway).await {
+            Ok(()) => return,
+            Err(error) => tracing::warn!(cause = %error, "gateway returned no engine list"),
+        }
+    }
+    let mut client = store::client(loader.settings.store, loader.dialect);
+    match store::read_all(&mut client, loader.dialect, Scope::Engines, true).await {
+        Ok(copy) => {
+            let mut fleet = Fleet::default();
+            loader.set_fleet_services(&mut fleet);
+            for item in &copy.items {
+                list_engine(loader, &mut fleet, item);
+            }
+            *loader.fleet.borrow_mut() = fleet;
+        }
+        Err(error) => tracing::warn!(cause = %error, "engine list not refreshed"),
+    }
+}
+
+fn list_engine(loader: &Loader, fleet: &mut Fleet, item: &Item) {
+    if let Some(Fact::Engine(record)) = loader.items.read(item) {
+        fleet.list(*record, item.revision);
+    }
+}
+
+async fn read_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<(), Error> {
+    let copy = store::read_all(client, loader.dialect, scope, false).await?;
+    apply_items(loader, &copy.items, copy.at);
+    Ok(())
+}
+
+/// Watches `scope`; false if the store has lost the history and has to be read again.
+async fn watch_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<bool, Error> {
+    let after = loader.revision.get();
+    match store::watch(client, loader.dialect, scope, after, WATCH_TIMEOUT_MILLIS).await? {
+        Watched::HistoryGone => Ok(false),
+        Watched::Changes(page) => {
+            apply_items(loader, &page.items, page.at);
+            Ok(true)
+        }
+    }
+}
+
+fn apply_items(loader: &Loader, items: &[Item], at: Revision) {
+    for item in items {
+        match loader.items.read(item) {
+            Some(Fact::Configuration(configuration)) => {
+                loader.update_services(configuration.services_part().for_loaders());
+            }
+            // Gateways report when the release deadline began; without gateways no requests start.
+            Some(Fact::Weights(model_version)) => loader.note_release(&model_version, OWN, 0),
+            Some(Fact::Engine(_) | Fact::Evacuation(_) | Fact::Other) | None => {}
+        }
+    }
+    loader.revision.set(loader.revision.get().max(at));
+}
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -1,5 +1,4 @@
-//! Versions of weights at a loader: those that operators named, those that are here whole, and the one that
-//! the engine holds.
+//! Versions known to a loader: releases, complete versions and the one that the engine has loaded.
 
 use {
     super::Loader,
@@ -17,115 +16,122 @@
 };
 
 impl Loader {
-    /// Notes weights that operators named `age` milliseconds ago or less, by the word of `teller`.
-    pub fn note_named(&self, named: &Named, teller: Teller, age: u64) {
+    /// Records a release that was published at most `age` milliseconds ago, as reported by
+    /// `source`.
+    pub fn note_release(&self, model_version: &Named, source: Teller, age: u64) {
         let now = clock::now();
         let earliest = Instant::from_millis(now.as_millis().saturating_sub(age));
-        let mut namings = self.namings.borrow_mut();
-        let known = namings.entry(named.model.clone()).or_default();
-        if known.note(named.version, teller, earliest, now) {
+        let mut releases = self.releases.borrow_mut();
+        let known = releases.entry(model_version.model.clone()).or_default();
+        if known.note(model_version.version, source, earliest, now) {
             tracing::info!(
-                model = named.model,
-                version = named.version.0,
+                model = model_version.model,
+                version = model_version.version.0,
                 age,
                 "weights named"
             );
         }
     }
 
-    /// Takes the word of a gateway, `teller`, on weights that operators named.
-    pub fn take_naming(&self, naming: message::Naming, teller: Teller) {
-        let named = Named {
-            model: naming.model,
-            version: Version(naming.version),
+    /// Records a release that the gateway `source` reported.
+    pub fn note_peer_release(&self, release: message::Naming, source: Teller) {
+        let model_version = Named {
+            model: release.model,
+            version: Version(release.version),
         };
-        self.note_named(&named, teller, naming.age);
+        self.note_release(&model_version, source, release.age);
     }
 
-    /// Weights of `model` that operators named, as far as known.
-    pub fn named(&self, model: &str) -> Vec<NamedAt> {
-        let namings = self.namings.borrow();
-        let known = namings.get(model).into_iter().flat_map(Namings::iter);
-        let named_at = |naming: &Naming| NamedAt {
-            version: naming.version,
-            at: naming.at,
+    /// Known releases of `model`.
+    pub fn release_times(&self, model: &str) -> Vec<NamedAt> {
+        let releases = self.releases.borrow();
+        let known = releases.get(model).into_iter().flat_map(Namings::iter);
+        let release_time = |release: &Naming| NamedAt {
+            version: release.version,
+            at: release.at,
         };
-        known.map(named_at).collect()
+        known.map(release_time).collect()
     }
 
-    /// How long the engine may serve what it holds.
-    pub fn tenure(&self, model: &str) -> Tenure {
-        let Some(held) = self.held(model) else {
+    /// Time until which the engine may serve its loaded version.
+    pub fn validity(&self, model: &str) -> Tenure {
+        let Some(loaded) = self.loaded_version(model) else {
             return Tenure::Empty;
         };
         let within = self.settings.version_within.0;
-        let namings = self.namings.borrow();
-        let known = namings.get(model).into_iter().flat_map(Namings::iter);
-        let newer = known.filter(|known| known.version > held);
+        let releases = self.releases.borrow();
+        let known = releases.get(model).into_iter().flat_map(Namings::iter);
+        let newer = known.filter(|known| known.version > loaded);
         let due = newer.map(|newer| newer.due_at(within)).min();
         due.map_or(Tenure::Unbounded, Tenure::Until)
     }
 
-    /// When it was first heard that operators named `named`.
-    pub fn heard_of(&self, named: &Named) -> Option<Instant> {
-        let namings = self.namings.borrow();
-        let mut known = namings.get(&named.model)?.iter();
-        let own = known.find(|known| known.version == named.version)?;
+    /// Time at which this loader first learned of the release.
+    pub fn first_known_at(&self, model_version: &Named) -> Option<Instant> {
+        let releases = self.releases.borrow();
+        let mut known = releases.get(&model_version.model)?.iter();
+        let own = known.find(|known| known.version == model_version.version)?;
         Some(own.heard)
     }
 
-    /// Weights that the engine should hold, as far as known; version 0, which stands for what the origin has, once
-    /// others have been waited for long enough.
-    pub fn wanted(&self) -> Option<Named> {
+    /// Version that the engine should load. Version 0 stands for the origin's newest, and is
+    /// returned after a wait for other versions to become known.
+    pub fn target(&self) -> Option<Named> {
         let model = self.model()?;
-        let named = self.named(&model);
+        let release_times = self.release_times(&model);
         let known = Known {
-            named: named.iter().map(|named| named.version).max(),
-            found: self.told_unnamed(&model, true),
+            named: release_times.iter().map(|release| release.version).max(),
+            found: self.reported_unreleased(&model, true),
             held: self
-                .held_elsewhere(&model)
-                .max(self.told_unnamed(&model, false)),
+                .newest_loaded_elsewhere(&model)
+                .max(self.reported_unreleased(&model, false)),
         };
-        let mut patience = self.patience.borrow_mut();
+        let mut origin_fallback = self.origin_fallback.borrow_mut();
         let version = match known.wanted() {
             Some(version) => {
-                patience.end();
+                origin_fallback.end();
                 version
             }
-            None if self.held(&model).is_some() => {
-                patience.end();
+            None if self.loaded_version(&model).is_some() => {
+                origin_fallback.end();
                 return None;
             }
             None => {
-                let hears = !self.subscribers.borrow().is_empty();
-                let place = order::hash(&self.settings.engine);
-                let is_over = patience.is_over(hears, place, clock::now());
+                let has_subscribers = !self.subscribers.borrow().is_empty();
+                let position = order::hash(&self.settings.engine);
+                let is_over = origin_fallback.is_over(has_subscribers, position, clock::now());
                 is_over.then(Version::default)?
             }
         };
         Some(Named { model, version })
     }
 
-    /// Newest version of `model` that gateways say the origin has, or else that engines hold, although nobody named it.
-    fn told_unnamed(&self, model: &str, is_found: bool) -> Option<Version> {
+    /// Newest unreleased version of `model` that gateways report at the origin (`is_found`) or at
+    /// engines.
+    fn reported_unreleased(&self, model: &str, is_found: bool) -> Option<Version> {
         let subscribers = self.subscribers.borrow();
-        let told = subscribers.values().flat_map(|one| &one.unnamed);
-        let of_model = told.filter(|told| told.model == model && told.is_found == is_found);
-        of_model.map(|told| Version(told.version)).max()
+        let reported = subscribers
+            .values()
+            .flat_map(|subscriber| &subscriber.unnamed);
+        let of_model =
+            reported.filter(|report| report.model == model && report.is_found == is_found);
+        of_model.map(|report| Version(report.version)).max()
     }
 
-    /// Machines whose engines serve exactly `named`, as far as known.
-    pub fn serving(&self, named: &Named) -> BTreeSet<IpAddr> {
+    /// Machines whose engines serve exactly `model_version`.
+    pub fn machines_serving(&self, model_version: &Named) -> BTreeSet<IpAddr> {
         let fleet = self.fleet.borrow();
         let now = clock::now();
-        let serves = |engine: &Engine| engine.version_of(&named.model, now) == Some(named.version);
-        let serving = fleet.listed().filter(|(_, engine)| serves(engine));
-        serving
+        let serves = |engine: &Engine| {
+            engine.version_of(&model_version.model, now) == Some(model_version.version)
+        };
+        let engines = fleet.listed().filter(|(_, engine)| serves(engine));
+        engines
             .map(|(_, engine)| engine.record.address.ip())
             .collect()
     }
 
-    fn held_elsewhere(&self, model: &str) -> Option<Version> {
+    fn newest_loaded_elsewhere(&self, model: &str) -> Option<Version> {
         let fleet = self.fleet.borrow();
         let now = clock::now();
         let versions = fleet
@@ -134,41 +140,44 @@
         versions.max()
     }
 
-    /// Notes that every chunk of `version` is here.
-    pub fn note_complete(&self, version: Version) {
+    /// Records that every chunk of `version` is cached.
+    pub fn mark_complete(&self, version: Version) {
         if !self.is_complete(version) {
             let at = clock::now();
-            self.complete.borrow_mut().push(NamedAt { version, at });
+            self.complete_versions
+                .borrow_mut()
+                .push(NamedAt { version, at });
         }
     }
 
-    /// True where every chunk of `version` is here.
+    /// True if every chunk of `version` is cached.
     pub fn is_complete(&self, version: Version) -> bool {
-        let complete = self.complete.borrow();
+        let complete = self.complete_versions.borrow();
         complete.iter().any(|complete| complete.version == version)
     }
 
-    /// Newest version whose chunks are all here.
+    /// Newest version whose chunks are all cached.
     pub fn newest_complete(&self) -> Option<Version> {
-        let complete = self.complete.borrow();
+        let complete = self.complete_versions.borrow();
         complete.iter().map(|complete| complete.version).max()
     }
 
-    /// Since when a version newer than `held` is here whole; now where none is.
-    pub fn complete_since(&self, held: Option<Version>) -> Instant {
-        let complete = self.complete.borrow();
+    /// Time since when a version newer than `loaded` is complete; now if none is.
+    pub fn complete_since(&self, loaded: Option<Version>) -> Instant {
+        let complete = self.complete_versions.borrow();
         let newer = complete
             .iter()
-            .filter(|complete| Some(complete.version) > held);
+            .filter(|complete| Some(complete.version) > loaded);
         let first = newer.map(|complete| complete.at).min();
         first.unwrap_or_else(clock::now)
     }
 
-    /// Version of `model` that the engine holds.
-    pub fn held(&self, model: &str) -> Option<Version> {
+    /// Version of `model` that the engine has loaded.
+    pub fn loaded_version(&self, model: &str) -> Option<Version> {
         let report = self.report.borrow();
-        let held = report.as_ref()?.held.iter();
-        held.filter(|held| held.model == model)
+        let loaded = report.as_ref()?.held.iter();
+        loaded
+            .filter(|held| held.model == model)
             .map(|held| held.version)
             .max()
     }
--- a/crates/gingerpier_gateway/src/log.rs
+++ b/crates/gingerpier_gateway/src/log.rs
@@ -1,7 +1,7 @@
-//! Logs: one line of key=value pairs for each event, on standard output.
+//! Logging to standard output, one line of key=value pairs per event.
 //!
-//! Lines go into a bounded buffer that a task empties, so that a reader who does not keep up never
-//! blocks a request; lines left out are counted and the count is logged.
+//! Lines are buffered in memory and written by a task, so that a slow reader never blocks a
+//! request. Lines beyond the buffer's limit are dropped and counted.
 
 use {
     crate::clock,
@@ -16,68 +16,69 @@
     },
 };
 
-/// Environment variable that sets the level, as in `debug`.
+/// Environment variable with the log filter, such as `debug`.
 const LEVEL_VARIABLE: &str = "GINGERPIER_LOG";
 
-/// Most bytes that wait to be written.
-const MAX_WAITING_BYTES: usize = 256 * 1024;
+/// Limit of the buffer; further lines are dropped.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Milliseconds between writes.
-const WRITE_EVERY_MILLIS: u64 = 200;
+/// Interval between writes.
+const WRITE_INTERVAL_MILLIS: u64 = 200;
 
-/// Lines about single requests in one second; more are counted and left out.
+/// Lines about single requests that are logged per second; more are dropped.
 const REQUEST_LINES_PER_SECOND: u32 = 400;
 
 #[derive(Debug, Default)]
-struct Buffer {
-    waiting: Vec<u8>,
-    left_out: u64,
+struct Pending {
+    bytes: Vec<u8>,
+    dropped: u64,
 }
 
-/// Where lines wait to be written.
+/// Buffered lines, shared between writers and the flushing task.
 #[derive(Debug, Clone, Default)]
-pub struct Lines(Arc<Mutex<Buffer>>);
+pub struct LogBuffer(Arc<Mutex<Pending>>);
 
-impl Lines {
-    fn change<T>(&self, change: impl FnOnce(&mut Buffer) -> T) -> T {
-        change(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+impl LogBuffer {
+    fn with_pending<T>(&self, operation: impl FnOnce(&mut Pending) -> T) -> T {
+        operation(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes what waits, with a line that counts those left out.
-    pub fn take(&self) -> Vec<u8> {
-        self.change(|buffer| {
-            if buffer.left_out > 0 {
+    /// Returns the buffered lines, with a final line that counts dropped ones, and empties the
+    /// buffer.
+    pub fn drain(&self) -> Vec<u8> {
+        self.with_pending(|pending| {
+            if pending.dropped > 0 {
                 let _ = writeln!(
-                    buffer.waiting,
-                    "level=warn message=\"log lines left out\" count={}",
-                    buffer.left_out
+                    pending.bytes,
+                    "level=warn message=\"log lines dropped\" count={}",
+                    pending.dropped
                 );
-                buffer.left_out = 0;
+                pending.dropped = 0;
             }
-            std::mem::take(&mut buffer.waiting)
+            std::mem::take(&mut pending.bytes)
         })
     }
 }
 
-impl<'a> MakeWriter<'a> for Lines {
-    type Writer = Line;
+impl<'a> MakeWriter<'a> for LogBuffer {
+    type Writer = LineWriter;
 
-    fn make_writer(&'a self) -> Line {
-        Line {
-            lines: self.clone(),
+    fn make_writer(&'a self) -> LineWriter {
+        LineWriter {
+            buffer: self.clone(),
             text: Vec::new(),
         }
     }
 }
 
-/// A line that is being written, in pieces. It waits with the others once it is whole, or is left out as a whole.
+/// Collects the pieces of one line and buffers or drops the line as a whole.
 #[derive(Debug)]
-pub struct Line {
-    lines: Lines,
+pub struct LineWriter {
+    buffer: LogBuffer,
     text: Vec<u8>,
 }
 
-impl Write for Line {
+impl Write for LineWriter {
     fn write(&mut self, piece: &[u8]) -> std::io::Result<usize> {
         self.text.extend_from_slice(piece);
         Ok(piece.len())
@@ -88,99 +89,99 @@
     }
 }
 
-impl Drop for Line {
+impl Drop for LineWriter {
     fn drop(&mut self) {
-        self.lines.change(|buffer| {
-            if buffer.waiting.len() + self.text.len() > MAX_WAITING_BYTES {
-                buffer.left_out += 1;
+        self.buffer.with_pending(|pending| {
+            if pending.bytes.len() + self.text.len() > MAX_BUFFERED_BYTES {
+                pending.dropped += 1;
             } else {
-                buffer.waiting.append(&mut self.text);
+                pending.bytes.append(&mut self.text);
             }
         });
     }
 }
 
-/// Starts logging; must be called within a runtime.
-pub fn start() -> Lines {
-    let lines = Lines::default();
+/// Starts logging. Must be called within a runtime.
+pub fn start() -> LogBuffer {
+    let buffer = LogBuffer::default();
     let level = EnvFilter::try_from_env(LEVEL_VARIABLE).unwrap_or_else(|_| EnvFilter::new("info"));
     let layer = tracing_logfmt::builder()
         .with_target(false)
         .layer()
-        .with_writer(lines.clone())
+        .with_writer(buffer.clone())
         .with_filter(level);
-    // A process that embeds the daemon may log already; its choice stands.
+    // A process that embeds this one may have installed its own subscriber.
     let _ = tracing_subscriber::registry().with(layer).try_init();
-    actix_rt::spawn(write_on(lines.clone()));
-    lines
+    actix_rt::spawn(write_periodically(buffer.clone()));
+    buffer
 }
 
-async fn write_on(lines: Lines) {
+async fn write_periodically(buffer: LogBuffer) {
     loop {
-        clock::pause(WRITE_EVERY_MILLIS).await;
-        flush(&lines);
+        clock::pause(WRITE_INTERVAL_MILLIS).await;
+        flush(&buffer);
     }
 }
 
-/// Writes what waits.
-pub fn flush(lines: &Lines) {
-    let waiting = lines.take();
-    if !waiting.is_empty() {
+/// Writes the buffered lines.
+pub fn flush(buffer: &LogBuffer) {
+    let bytes = buffer.drain();
+    if !bytes.is_empty() {
         // Nothing can be done about a closed standard output.
-        let _ = std::io::stdout().write_all(&waiting);
+        let _ = std::io::stdout().write_all(&bytes);
     }
 }
 
-/// Milliseconds between two lines with a census of the engines, which passes over all of them as a decision does: that takes
-/// 0.1 to 0.2 ms where there are 3,000.
-const CENSUS_EVERY_MILLIS: u64 = 50;
+/// Least interval between log lines with counts of engines by availability, as each count scans all
+/// engines.
+const COUNTS_INTERVAL_MILLIS: u64 = 50;
 
 #[derive(Debug, Default)]
-struct Allowance {
+struct RequestLineBudget {
     second: u64,
     used: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
 thread_local! {
-    static ALLOWANCE: RefCell<Allowance> = RefCell::default();
-    static LAST_CENSUS: Cell<Option<Instant>> = const { Cell::new(None) };
+    static REQUEST_LINE_BUDGET: RefCell<RequestLineBudget> = RefCell::default();
+    static LAST_COUNTS: Cell<Option<Instant>> = const { Cell::new(None) };
 }
 
-/// True where one more line may have a census of the engines.
+/// True if the next line may include counts of engines by availability.
 pub fn allows_census() -> bool {
     let now = clock::now();
-    let next = LAST_CENSUS
+    let next = LAST_COUNTS
         .get()
-        .map(|last| last.after_millis(CENSUS_EVERY_MILLIS));
+        .map(|last| last.after_millis(COUNTS_INTERVAL_MILLIS));
     let is_allowed = next.is_none_or(|next| next.has_passed(now));
     if is_allowed {
-        LAST_CENSUS.set(Some(now));
+        LAST_COUNTS.set(Some(now));
     }
     is_allowed
 }
 
-/// True where one more line about a request may be written in this second.
+/// True if another line about a request may be logged within this second.
 pub fn allows_request_line() -> bool {
     let second = clock::now().as_millis() / 1_000;
-    ALLOWANCE.with_borrow_mut(|allowance| {
-        if allowance.second != second {
-            if allowance.left_out > 0 {
+    REQUEST_LINE_BUDGET.with_borrow_mut(|budget| {
+        if budget.second != second {
+            if budget.dropped > 0 {
                 tracing::warn!(
-                    count = allowance.left_out,
-                    "lines about requests left out in one second"
+                    count = budget.dropped,
+                    "request log lines dropped by the rate limit"
                 );
             }
-            *allowance = Allowance {
+            *budget = RequestLineBudget {
                 second,
-                ..Allowance::default()
+                ..RequestLineBudget::default()
             };
         }
-        if allowance.used < REQUEST_LINES_PER_SECOND {
-            allowance.used += 1;
+        if budget.used < REQUEST_LINES_PER_SECOND {
+            budget.used += 1;
             return true;
         }
-        allowance.left_out += 1;
+        budget.dropped += 1;
         false
     })
 }
--- a/crates/gingerpier_gateway/src/message/figures.rs
+++ b/crates/gingerpier_gateway/src/message/figures.rs
@@ -1,4 +1,4 @@
-//! Messages that tell loaders what they need of the configuration and of the engines.
+//! Messages with the part of the configuration and the engines that loaders need.
 
 use {
     super::{DigestHeld, Naming},
@@ -6,61 +6,61 @@
     std::net::SocketAddr,
 };
 
-/// Figures of engines, as operators give them.
+/// Performance model of engines, as configured by operators.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct EngineFigures {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     #[n(0)]
     pub slots: u32,
-    /// Token steps of one pass.
+    /// Token steps per pass.
     #[n(1)]
     pub stride: u32,
-    /// Milliseconds of one token step.
+    /// Duration of one token step.
     #[n(2)]
     pub step_millis: f64,
-    /// Milliseconds that each running request adds to a step.
+    /// Duration that each running request adds to a step.
     #[n(3)]
     pub per_request_millis: f64,
-    /// Milliseconds that 1,000 tokens of context add to a step.
+    /// Duration that 1,000 tokens of context add to a step.
     #[n(4)]
     pub per_thousand_tokens_millis: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens read per millisecond.
     #[n(5)]
     pub read_per_milli: f64,
-    /// Most prompt tokens that one pass reads.
+    /// Limit on prompt tokens read in one pass.
     #[n(6)]
     pub read_at_once: Option<u32>,
-    /// Mean tokens of a prompt.
+    /// Mean prompt length in tokens.
     #[n(7)]
     pub usual_prompt: u32,
-    /// Mean tokens of an answer.
+    /// Mean response length in tokens.
     #[n(8)]
     pub usual_answer: u32,
-    /// Tokens that the memory of an engine holds.
+    /// Memory capacity of an engine in tokens.
     #[n(9)]
     pub memory_tokens: u64,
-    /// Models.
+    /// Model names.
     #[n(10)]
     pub models: Vec<String>,
 }
 
-/// Where weights come from.
+/// Origin server of weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct OriginFigures {
-    /// Address.
+    /// Server address.
     #[n(0)]
     pub address: SocketAddr,
-    /// Bits a second that its link carries; 0 where that is not known.
+    /// Link bandwidth; 0 if unknown.
     #[n(1)]
     pub link_bits_per_second: u64,
-    /// Connections that it takes.
+    /// Limit on concurrent connections.
     #[n(2)]
     pub max_connections: u32,
 }
 
-/// What a service is.
+/// Kind of a service.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum ServiceFigures {
     /// Model engines.
@@ -71,61 +71,61 @@
     Origin(#[n(0)] OriginFigures),
 }
 
-/// A service that loaders need to know.
+/// A service that loaders need.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct ToldService {
-    /// Name.
+    /// Service name.
     #[n(0)]
     pub name: String,
-    /// Most connections of one engine.
+    /// Limit on concurrent connections per engine.
     #[n(1)]
     pub max_connections: u32,
-    /// What it is.
+    /// Kind and parameters.
     #[n(2)]
     pub figures: ServiceFigures,
 }
 
-/// An engine that loaders need to know.
+/// An engine that loaders need.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ToldEngine {
-    /// Address.
+    /// Engine address.
     #[n(0)]
     pub address: SocketAddr,
-    /// Place of its service among those of the message.
+    /// Index into the services of the message.
     #[n(1)]
     pub service: u32,
-    /// Place of its zone among those of the message.
+    /// Index into the zones of the message.
     #[n(2)]
     pub zone: u32,
-    /// Weights that it holds.
+    /// Loaded weights.
     #[n(3)]
     pub held: Vec<DigestHeld>,
 }
 
-/// What a loader needs to know of the configuration and of the engines, from a gateway.
+/// Configuration and engines for a loader, sent by a gateway.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct Figures {
-    /// Version of the configuration.
+    /// Configuration version.
     #[n(0)]
     pub version: u64,
-    /// What it says of engines and origins of weights, as the digest of subscriptions.
+    /// Digest of the engines and origins in the configuration, equal to that in subscriptions.
     #[n(1)]
     pub weights_digest: u64,
-    /// Services of engines and of origins.
+    /// Engine and origin services.
     #[n(2)]
     pub services: Vec<ToldService>,
-    /// Zones that engines name by their places here.
+    /// Zone names; engines refer to them by index.
     #[n(3)]
     pub zones: Vec<String>,
-    /// Models that engines name by their places here.
+    /// Model names; engines refer to them by index.
     #[n(4)]
     pub models: Vec<String>,
-    /// Engines.
+    /// Known engines.
     #[n(5)]
     pub engines: Vec<ToldEngine>,
-    /// Weights that operators named.
+    /// Released versions.
     #[cbor(n(6), default)]
     pub named: Vec<Naming>,
 }
--- a/crates/gingerpier_gateway/src/message/mod.rs
+++ b/crates/gingerpier_gateway/src/message/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways and loaders, in CBOR with numbered fields.
+//! Messages between gateways and loaders, encoded in CBOR with numbered fields.
 
 mod figures;
 mod snapshot;
@@ -15,68 +15,68 @@
     std::net::SocketAddr,
 };
 
-/// Weights of a model.
+/// Loaded weights of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Weights {
-    /// Model.
+    /// Model name.
     #[n(0)]
     pub model: String,
-    /// Version.
+    /// Version number.
     #[n(1)]
     pub version: u64,
 }
 
-/// Weights of a model that operators named.
+/// A released version of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Naming {
-    /// Model.
+    /// Model name.
     #[n(0)]
     pub model: String,
-    /// Version.
+    /// Version number.
     #[n(1)]
     pub version: u64,
-    /// Milliseconds since the earliest moment at which they can have been named.
+    /// Milliseconds since the earliest possible time of the release.
     #[cbor(n(2), default)]
     pub age: u64,
 }
 
-/// Weights that nobody named.
+/// An available version of a model without a release.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Unnamed {
-    /// Model.
+    /// Model name.
     #[n(0)]
     pub model: String,
-    /// Version.
+    /// Version number.
     #[n(1)]
     pub version: u64,
-    /// True where the origin was found to have them; else an engine is said to hold them.
+    /// True if the origin has it; false if an engine reports it.
     #[n(2)]
     pub is_found: bool,
 }
 
-/// A gateway asks a loader for reports, and tells what weights are named.
+/// Subscription of a gateway to a loader's reports, with the releases that the gateway knows.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Subscribe {
     /// Zone of the gateway.
     #[n(0)]
     pub zone: String,
-    /// Weights that operators named, as far as the gateway knows.
+    /// Releases known to the gateway.
     #[n(1)]
     pub named: Vec<Naming>,
-    /// When the gateway sent this, in milliseconds of its own clock.
+    /// Send time in milliseconds of the gateway's own clock.
     #[cbor(n(2), default)]
     pub stamp: u64,
-    /// Version of the configuration that the gateway knows; 0 for none.
+    /// Configuration version known to the gateway; 0 for none.
     #[cbor(n(3), default)]
     pub configuration: u64,
-    /// What that says of engines and origins of weights, as a digest.
+    /// Digest of the engines and origins in that configuration.
     #[cbor(n(4), default)]
     pub weights_digest: u64,
-    /// Weights that are to be had although nobody named them, as far as the gateway knows.
+    /// Available versions of models without a release.
     #[cbor(n(5), default)]
     pub unnamed: Vec<Unnamed>,
 }
@@ -88,202 +88,202 @@
     /// Address for peers.
     #[n(0)]
     pub address: String,
-    /// Zone.
+    /// Availability zone.
     #[n(1)]
     pub zone: String,
-    /// What it tells of its zone, where it asks whether the hearer lives.
+    /// Set if the message probes whether the recipient is alive.
     #[cbor(n(2), default)]
     pub probe: Option<Probe>,
 }
 
-/// What a gateway tells another of its zone with a probe, or with the answer to one.
+/// Membership state that gateways of a zone exchange with probes and their replies.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Probe {
     /// Incarnation of the sender.
     #[n(0)]
     pub incarnation: u64,
-    /// News of gateways of the zone.
+    /// Membership updates of the zone.
     #[n(1)]
     pub news: Vec<ToldMember>,
 }
 
-/// News of a gateway.
+/// Membership update of one gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct ToldMember {
-    /// Address.
+    /// Gateway address.
     #[n(0)]
     pub address: SocketAddr,
-    /// Incarnation.
+    /// Incarnation that the update applies to.
     #[n(1)]
     pub incarnation: u64,
-    /// True where it is gone.
+    /// True if the gateway is dead.
     #[n(2)]
     pub is_gone: bool,
 }
 
-/// A loader reports its engine's state.
+/// State of an engine, reported by its loader.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub struct Load {
-    /// Address of the engine.
+    /// Engine address.
     #[n(0)]
     pub engine: String,
-    /// Weights that it holds.
+    /// Loaded weights.
     #[n(1)]
     pub held: Vec<Weights>,
-    /// True while it carries out an order, or is about to get one.
+    /// True while the engine carries out an order or is about to receive one.
     #[n(2)]
     pub is_busy: bool,
-    /// Requests that wait.
+    /// Queued requests.
     #[n(3)]
     pub queued: u32,
-    /// Requests that run.
+    /// Running requests.
     #[n(4)]
     pub active: u32,
-    /// Tokens in its memory.
+    /// Memory in use, in tokens.
     #[n(5)]
     pub memory_used: u64,
-    /// Tokens that its memory holds.
+    /// Memory capacity in tokens.
     #[n(6)]
     pub memory_total: u64,
-    /// How slow it is, in thousandths; 1,000 is usual.
+    /// Slowdown in thousandths; 1,000 is normal speed.
     #[n(7)]
     pub pace: u32,
-    /// Gateways that the loader heard from.
+    /// Some of the gateways that subscribe to the loader.
     #[n(8)]
     pub gateways: Vec<Member>,
-    /// Stamp of the last word that came from the gateway which gets this; 0 for none.
+    /// Timestamp of the recipient's last subscription; 0 for none.
     #[cbor(n(9), default)]
     pub echo: u64,
-    /// Prompt tokens that it has admitted and not yet read, as far as can be told.
+    /// Estimate of admitted prompt tokens that aren't read yet.
     #[cbor(n(10), default)]
     pub unread_tokens: u64,
-    /// When the engine started, in Unix milliseconds of its own; 0 where it does not tell.
+    /// Start time of the engine in Unix milliseconds; 0 if unknown.
     #[cbor(n(11), default)]
     pub born: u64,
 }
 
-/// Weights that an engine of a digest holds.
+/// Loaded weights of an engine in a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct DigestHeld {
-    /// Place of the model among those of the digest.
+    /// Index into the models of the digest.
     #[n(0)]
     pub model: u32,
-    /// Version.
+    /// Version number.
     #[n(1)]
     pub version: u64,
 }
 
-/// An engine in a digest.
+/// State of an engine in a digest.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct DigestEngine {
-    /// Address.
+    /// Engine address.
     #[n(0)]
     pub address: SocketAddr,
     /// Milliseconds since its report.
     #[n(1)]
     pub age: u32,
-    /// Weights that it holds.
+    /// Loaded weights.
     #[n(2)]
     pub held: Vec<DigestHeld>,
-    /// True while it carries out an order, or is about to get one.
+    /// True while the engine carries out an order or is about to receive one.
     #[n(3)]
     pub is_busy: bool,
-    /// Requests that wait.
+    /// Queued requests.
     #[n(4)]
     pub queued: u32,
-    /// Requests that run.
+    /// Running requests.
     #[n(5)]
     pub active: u32,
-    /// Prompt tokens that it has admitted and not yet read.
+    /// Admitted prompt tokens that aren't read yet.
     #[n(6)]
     pub unread_tokens: u64,
-    /// How slow it is, in thousandths; 1,000 is usual.
+    /// Slowdown in thousandths; 1,000 is normal speed.
     #[n(7)]
     pub pace: u32,
-    /// Milliseconds from the first start that the digest tells of to its own, and one more; 0 where that is not known.
+    /// Start time, as 1 plus the milliseconds since `first_born`; 0 if unknown.
     #[cbor(n(8), default)]
     pub born_after: u64,
 }
 
-/// A part of what gateways of one zone tell those of the others.
+/// Part of the state of a zone, sent to gateways of other zones.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Digest {
-    /// Zone.
+    /// Zone name.
     #[n(0)]
     pub zone: String,
-    /// Gateway that made it.
+    /// Gateway that created the digest.
     #[n(1)]
     pub sender: SocketAddr,
-    /// Milliseconds of the sender's own clock.
+    /// Creation time in milliseconds of the sender's own clock.
     #[n(2)]
     pub stamp: u64,
-    /// Part.
+    /// Part number.
     #[n(3)]
     pub part: u32,
-    /// Gateways of the zone.
+    /// Number of gateways in the zone.
     #[n(4)]
     pub gateway_count: u32,
-    /// Models that engines name by their places here.
+    /// Model names; engines refer to them by index.
     #[n(5)]
     pub models: Vec<String>,
-    /// Engines.
+    /// Engines in this part.
     #[n(6)]
     pub engines: Vec<DigestEngine>,
-    /// Some of the gateways.
+    /// Some of the gateways of the zone.
     #[n(7)]
     pub gateways: Vec<SocketAddr>,
-    /// True where a gateway of the hearer's own zone passed it on.
+    /// True if a gateway of the recipient's zone forwarded it.
     #[n(8)]
     pub is_passed_on: bool,
-    /// First start of its engines, in Unix milliseconds; 0 where none is known.
+    /// Earliest engine start time in Unix milliseconds; 0 if unknown.
     #[cbor(n(9), default)]
     pub first_born: u64,
 }
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum Datagram {
-    /// From a gateway.
+    /// From a gateway to a loader.
     #[n(0)]
     Subscribe(#[n(0)] Subscribe),
-    /// From a loader.
+    /// From a loader to a gateway.
     #[n(1)]
     Load(#[n(0)] Load),
-    /// Between gateways.
+    /// From a gateway to one of another zone.
     #[n(2)]
     Digest(#[n(0)] Digest),
-    /// From a gateway that starts, to one that may know others of its zone.
+    /// From a starting gateway to a possible member of its zone.
     #[n(3)]
     Hello(#[n(0)] Member),
-    /// Gateways that somebody knows.
+    /// From a gateway or a loader: known gateways.
     #[n(4)]
     Names(#[n(0)] Names),
-    /// Between gateways.
+    /// From a gateway to another one.
     #[n(5)]
     Suspects(#[n(0)] Suspects),
 }
 
-/// Gateways, where there is nothing else to tell.
+/// List of gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Names {
-    /// Gateways.
+    /// Known gateways.
     #[n(0)]
     pub gateways: Vec<Member>,
-    /// The answer to a probe.
+    /// Reply to a probe.
     #[cbor(n(1), default)]
     pub probe: Option<Probe>,
 }
 
 impl DigestHeld {
-    /// What tells of `held`, whose model is named among `models`, at most `most` of them; nothing where there
-    /// is no more room.
-    pub fn new(held: &Held, models: &mut Vec<String>, most: usize) -> Option<Self> {
+    /// Encodes `held` and adds its model to `models`; none if `models` already has `max_models`
+    /// others.
+    pub fn new(held: &Held, models: &mut Vec<String>, max_models: usize) -> Option<Self> {
         let known = models.iter().position(|model| *model == held.model);
-        if known.is_none() && models.len() >= most {
+        if known.is_none() && models.len() >= max_models {
             return None;
         }
         let model = known.unwrap_or_else(|| {
@@ -296,7 +296,7 @@
         })
     }
 
-    /// The weights that it tells of; nothing where `models` does not name the model.
+    /// Decodes the weights; none if the index is out of range.
     pub fn held(&self, models: &[String]) -> Option<Held> {
         Some(Held {
             model: models.get(self.model as usize)?.clone(),
@@ -306,7 +306,7 @@
 }
 
 impl Load {
-    /// Load of the engine at `engine`, from its report.
+    /// Load message for the `report` of the engine at `engine`.
     pub fn new(engine: String, report: &Report) -> Self {
         let held = report.held.iter().map(|held| Weights {
             model: held.model.clone(),
@@ -328,7 +328,7 @@
         }
     }
 
-    /// The report in it.
+    /// Decodes the report.
     pub fn report(&self) -> Report {
         let held = self.held.iter().map(|weights| Held {
             model: weights.model.clone(),
@@ -349,13 +349,13 @@
     }
 }
 
-/// Bytes of a message.
+/// Encodes a message.
 pub fn encode<T: Encode<()>>(message: &T) -> Vec<u8> {
-    // Writing into memory can't fail.
+    // Writing to memory can't fail.
     minicbor::to_vec(message).unwrap_or_default()
 }
 
-/// Message in `bytes`; nothing where it is none.
+/// Decodes a message; none if `bytes` is malformed.
 pub fn decode<T: for<'b> Decode<'b, ()>>(bytes: &[u8]) -> Option<T> {
     minicbor::decode(bytes).ok()
 }
--- a/crates/gingerpier_gateway/src/message/snapshot.rs
+++ b/crates/gingerpier_gateway/src/message/snapshot.rs
@@ -1,45 +1,45 @@
-//! Messages with which gateways tell each other of the store.
+//! Messages with store contents that gateways exchange.
 
 use {
     gingerpier_serving::mirror::{Item, Revision},
     minicbor::{Decode, Encode},
 };
 
-/// An item of the store, as a peer knows it.
+/// A store item.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct SharedItem {
-    /// Key.
+    /// Store key.
     #[n(0)]
     pub key: String,
-    /// Revision.
+    /// Revision of the last change.
     #[n(1)]
     pub revision: u64,
-    /// Value; empty where the key is gone.
+    /// Value; empty if the key is deleted.
     #[cbor(n(2), with = "minicbor::bytes")]
     pub value: Vec<u8>,
-    /// True where the key is gone.
+    /// True if the key is deleted.
     #[cbor(n(3), default)]
     pub is_gone: bool,
 }
 
-/// What a gateway knows of the store: all of it, or what changed behind a revision.
+/// Contents of the store, or the changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Snapshot {
-    /// Revision up to which it is known.
+    /// Revision that this reaches up to.
     #[n(0)]
     pub at: u64,
-    /// Items.
+    /// Items, or changed items.
     #[n(1)]
     pub items: Vec<SharedItem>,
-    /// True where the items are changes, not all that there is.
+    /// True if `items` holds changes only.
     #[cbor(n(2), default)]
     pub is_changes: bool,
 }
 
 impl SharedItem {
-    /// Item to be told.
+    /// Encodes an item.
     pub fn new(item: Item) -> Self {
         Self {
             key: item.key,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The item that was told.
+    /// Decodes the item.
     pub fn item(self) -> Item {
         Item {
             key: self.key,
--- a/crates/gingerpier_gateway/src/message/suspects.rs
+++ b/crates/gingerpier_gateway/src/message/suspects.rs
@@ -1,4 +1,4 @@
-//! Messages with which gateways tell each other which requests ended engines.
+//! Messages about requests that ran on crashing engines, exchanged by gateways.
 
 use {
     gingerpier_base::Instant,
@@ -12,7 +12,7 @@
     std::net::SocketAddr,
 };
 
-/// A request.
+/// Fingerprint of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
 pub struct ToldMark(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH]);
@@ -29,28 +29,28 @@
     }
 }
 
-/// A request ran at an engine when that ended.
+/// A request ran on an engine when that crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct ToldEnd {
-    /// Request.
+    /// Fingerprint of the request.
     #[n(0)]
     pub mark: ToldMark,
-    /// Hash of its client account.
+    /// Hash of the client account.
     #[n(1)]
     pub account: u32,
-    /// Engine.
+    /// Engine incarnation.
     #[n(2)]
     pub engine: u64,
-    /// Version of its weights.
+    /// Version of the engine's weights.
     #[n(3)]
     pub version: u64,
-    /// Milliseconds since that was noticed.
+    /// Milliseconds since the crash was detected.
     #[n(4)]
     pub age: u64,
 }
 
 impl ToldEnd {
-    /// What tells of `end` at `now`.
+    /// Encodes `end` at `now`.
     pub fn new(end: &End, now: Instant) -> Self {
         Self {
             mark: end.mark.into(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The end that was told at `now`.
+    /// Decodes the crash, received at `now`.
     pub fn end(&self, now: Instant) -> End {
         End {
             mark: self.mark.into(),
@@ -73,50 +73,50 @@
     }
 }
 
-/// A request was answered whole.
+/// A request ran to completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct ToldCleared {
-    /// Request.
+    /// Fingerprint of the request.
     #[n(0)]
     pub mark: ToldMark,
-    /// Version of the weights that answered it.
+    /// Version of the weights that served it.
     #[n(1)]
     pub version: u64,
 }
 
-/// An engine counts no more against a request, by an operator's word.
+/// An operator dismissed an engine's crash as evidence against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct ToldPardon {
-    /// Request.
+    /// Fingerprint of the request.
     #[n(0)]
     pub mark: ToldMark,
-    /// Hash of its client account.
+    /// Hash of the client account.
     #[n(1)]
     pub account: u32,
-    /// Engine.
+    /// Engine incarnation.
     #[n(2)]
     pub engine: u64,
 }
 
-/// A trial of a request that may end engines begins or is over.
+/// Start or end of a trial run of a request that may crash engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct ToldTrial {
-    /// Request.
+    /// Fingerprint of the request.
     #[n(0)]
     pub mark: ToldMark,
-    /// Gateway.
+    /// Gateway that runs the trial.
     #[n(1)]
     pub by: SocketAddr,
-    /// Engine, where no other trial may be beside it.
+    /// Engine, if it must not run another trial.
     #[n(2)]
     pub engine: Option<u64>,
-    /// True where it is over.
+    /// True if the trial has ended.
     #[n(3)]
     pub is_over: bool,
 }
 
 impl ToldTrial {
-    /// What tells of `trial`.
+    /// Encodes `trial`.
     pub fn new(trial: &Trial, is_over: bool) -> Self {
         Self {
             mark: trial.mark.into(),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The trial that was told.
+    /// Decodes the trial.
     pub fn trial(&self) -> Trial {
         Trial {
             by: self.by,
@@ -136,35 +136,35 @@
     }
 }
 
-/// What a gateway knows of requests that ended engines: some of it, or a digest of all that others should know.
+/// Updates about requests that crash engines, or a digest of all that the sender knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Suspects {
-    /// Ends.
+    /// Crashes.
     #[cbor(n(0), default)]
     pub ends: Vec<ToldEnd>,
-    /// Requests that were answered whole.
+    /// Requests that ran to completion.
     #[cbor(n(1), default)]
     pub cleared: Vec<ToldCleared>,
-    /// Engines that count no more.
+    /// Dismissed crashes.
     #[cbor(n(2), default)]
     pub pardons: Vec<ToldPardon>,
     /// Trials.
     #[cbor(n(3), default)]
     pub trials: Vec<ToldTrial>,
-    /// True where whoever takes it passes what is new to it on to the other gateways of its zone.
+    /// True if the recipient forwards new entries to the other gateways of its zone.
     #[cbor(n(4), default)]
     pub is_to_pass_on: bool,
-    /// Digest of what the sender knows, for one that may know something else.
+    /// Digest of all entries that the sender knows, to detect missing ones.
     #[n(5)]
     pub digest: Option<u64>,
-    /// True where it answers a digest, so that no other answer follows.
+    /// True if this replies to a digest, so that no further reply follows.
     #[cbor(n(6), default)]
     pub is_answer: bool,
 }
 
 impl Suspects {
-    /// True where it tells nothing.
+    /// True if there are no entries.
     pub const fn is_empty(&self) -> bool {
         self.ends.is_empty()
             && self.cleared.is_empty()
--- a/crates/gingerpier_gateway/src/pool.rs
+++ b/crates/gingerpier_gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to engines that rest between requests.
+//! Pool of idle connections.
 
 use {
     crate::clock,
@@ -7,83 +7,83 @@
     std::{collections::HashMap, hash::Hash},
 };
 
-/// Milliseconds that a connection rests where its peer does not say.
-const USUAL_REST_MILLIS: u64 = 3_000;
+/// Idle timeout of a connection whose peer announces none.
+const DEFAULT_IDLE_MILLIS: u64 = 3_000;
 
-/// Milliseconds before the peer's own end of rest.
-const MARGIN_MILLIS: u64 = 1_000;
+/// Time by which a connection is closed before the timeout that its peer announces.
+const IDLE_MARGIN_MILLIS: u64 = 1_000;
 
-/// Connections that rest for one peer.
-const MAX_RESTING: usize = 24;
+/// Limit on idle connections per peer.
+const MAX_IDLE: usize = 24;
 
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     expires: Instant,
 }
 
-/// Resting connections by peer.
+/// Idle connections by peer.
 pub struct Pool<K> {
-    resting: HashMap<K, Vec<Resting>>,
+    idle: HashMap<K, Vec<IdleConnection>>,
 }
 
 impl<K> Default for Pool<K> {
     fn default() -> Self {
         Self {
-            resting: HashMap::new(),
+            idle: HashMap::new(),
         }
     }
 }
 
-/// Milliseconds that a connection may rest after `response`; none where it ends.
-pub fn rest_millis(response: &Response) -> Option<u64> {
+/// Time that a connection may stay idle after `response`; none if it has to be closed.
+pub fn idle_millis(response: &Response) -> Option<u64> {
     if !response.keeps_alive() {
         return None;
     }
-    let told = response.fields.text("keep-alive").and_then(|text| {
+    let announced = response.fields.text("keep-alive").and_then(|text| {
         let part = text
             .split(',')
             .find_map(|part| part.trim().strip_prefix("timeout="));
         part.unwrap_or(text).trim().parse::<u64>().ok()
     });
-    match told {
-        None => Some(USUAL_REST_MILLIS),
-        Some(seconds) => (seconds * 1_000).checked_sub(MARGIN_MILLIS),
+    match announced {
+        None => Some(DEFAULT_IDLE_MILLIS),
+        Some(seconds) => (seconds * 1_000).checked_sub(IDLE_MARGIN_MILLIS),
     }
 }
 
 impl<K: Hash + Eq> Pool<K> {
-    /// A connection to `peer` that is fit for one more request.
+    /// Removes and returns a usable connection to `peer`.
     pub fn take(&mut self, peer: &K) -> Option<Connection> {
-        let resting = self.resting.get_mut(peer)?;
+        let idle = self.idle.get_mut(peer)?;
         let now = clock::now();
-        while let Some(next) = resting.pop() {
-            if !next.expires.has_passed(now) && next.connection.is_idle() {
-                return Some(next.connection);
+        while let Some(candidate) = idle.pop() {
+            if !candidate.expires.has_passed(now) && candidate.connection.is_idle() {
+                return Some(candidate.connection);
             }
         }
         None
     }
 
-    /// Lets a connection rest after `response`.
+    /// Adds a connection after `response`, unless it has to be closed or the limit is reached.
     pub fn put(&mut self, peer: K, connection: Connection, response: &Response) {
-        let Some(millis) = rest_millis(response) else {
+        let Some(millis) = idle_millis(response) else {
             return;
         };
-        let resting = self.resting.entry(peer).or_default();
-        if resting.len() < MAX_RESTING && connection.input.is_empty() {
-            resting.push(Resting {
+        let idle = self.idle.entry(peer).or_default();
+        if idle.len() < MAX_IDLE && connection.input.is_empty() {
+            idle.push(IdleConnection {
                 connection,
                 expires: clock::now().after_millis(millis),
             });
         }
     }
 
-    /// Ends connections whose rest is over, and those of peers that `keep` does not hold.
+    /// Closes expired connections and those to peers that `keep` rejects.
     pub fn sweep<F: Fn(&K) -> bool>(&mut self, keep: F) {
         let now = clock::now();
-        self.resting.retain(|peer, resting| {
-            resting.retain(|one| !one.expires.has_passed(now));
-            !resting.is_empty() && keep(peer)
+        self.idle.retain(|peer, idle| {
+            idle.retain(|connection| !connection.expires.has_passed(now));
+            !idle.is_empty() && keep(peer)
         });
     }
 }
--- a/crates/gingerpier_gateway/src/relay.rs
+++ b/crates/gingerpier_gateway/src/relay.rs
@@ -1,5 +1,7 @@
-//! What gateways tell each other of the store: those that watch it to the others of their zone,
-//! and all to one that the store does not answer.
+//! Sharing of store contents between gateways.
+//!
+//! Gateways that watch the store share it with the others of their zone, and any gateway shares it
+//! with one that can't reach the store.
 
 use {
     crate::{
@@ -26,67 +28,70 @@
     tokio::net::TcpListener,
 };
 
-/// Path of a snapshot.
 const SNAPSHOT_PATH: &str = "/snapshot";
 
-/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Path of the requests that are held back, and before the marks of those that are to be let go.
+/// Path that lists held requests.
 const HELD_PATH: &str = "/held";
+
+/// Path prefix that releases a held request by its fingerprint.
 const RELEASE_PATH: &str = "/release/";
 
-/// Milliseconds between questions to peers.
-const ASK_EVERY_MILLIS: u64 = 300;
+/// Interval between polls of peers while the store is unreachable.
+const POLL_INTERVAL_MILLIS: u64 = 300;
 
-/// Milliseconds that a peer may take.
-const ANSWER_MILLIS: u64 = 500;
+/// Timeout for a response.
+const RESPONSE_TIMEOUT_MILLIS: u64 = 500;
 
-/// Milliseconds for which a question is held while there is no news.
-const WAIT_MILLIS: u64 = 400;
+/// Longest time that a request waits for changes.
+const MAX_WAIT_MILLIS: u64 = 400;
 
-/// Milliseconds beyond that which an answer may take.
-const SLACK_MILLIS: u64 = 250;
+/// Time that a response may take in addition to the wait.
+const WAIT_MARGIN_MILLIS: u64 = 250;
 
-/// Peers asked at once.
-const ASKED: usize = 2;
+/// Peers polled concurrently.
+const MAX_POLLED_PEERS: usize = 2;
 
-/// Longest head of a question.
-const MAX_HEAD: usize = 4096;
+/// Largest request head.
+const MAX_HEAD_BYTES: usize = 4096;
 
-/// Field with the [`Ages`] of a snapshot, apart from it: the snapshot is the same for all who ask.
+/// Header field with the [`Ages`] of a snapshot, which keep the body equal for all requests.
 const AGES_FIELD: &str = "ages-millis";
 
-/// Milliseconds that a connection may rest.
-const REST_MILLIS: u64 = 10_000;
+/// Longest time that a connection may stay idle.
+const IDLE_TIMEOUT_MILLIS: u64 = 10_000;
 
-/// Serves snapshots and metrics.
+/// Serves snapshots, metrics and held requests.
 pub async fn serve(state: Rc<State>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let state = state.clone();
-                actix_rt::spawn(async move { answer(&state, Connection::new(stream)).await });
+                actix_rt::spawn(
+                    async move { serve_connection(&state, Connection::new(stream)).await },
+                );
             }
-            Err(_) => clock::pause(ASK_EVERY_MILLIS).await,
+            Err(_) => clock::pause(POLL_INTERVAL_MILLIS).await,
         }
     }
 }
 
-async fn answer(state: &State, mut connection: Connection) {
-    let rest = clock::now().after_millis(REST_MILLIS);
-    while let Some(Some(request)) = clock::before(rest, read_head(&mut connection)).await {
-        let reply = reply(state, &request).await;
-        if connection.write(&reply).await.is_err() {
+async fn serve_connection(state: &State, mut connection: Connection) {
+    let idle_deadline = clock::now().after_millis(IDLE_TIMEOUT_MILLIS);
+    while let Some(Some(request)) = clock::before(idle_deadline, read_head(&mut connection)).await {
+        let response = build_response(state, &request).await;
+        if connection.write(&response).await.is_err() {
             return;
         }
     }
 }
 
-/// Reads the head of a request without a body; nothing where the peer is done or wrong.
+/// Reads the head of a request without a body; none if the peer closed the connection or sent an
+/// invalid head.
 pub async fn read_head(connection: &mut Connection) -> Option<Request> {
     loop {
-        match Request::parse(&mut connection.input, MAX_HEAD) {
+        match Request::parse(&mut connection.input, MAX_HEAD_BYTES) {
             Ok(Some(request)) => return Some(request),
             Ok(None) => {}
             Err(_) => return None,
@@ -97,7 +102,7 @@
     }
 }
 
-async fn reply(state: &State, request: &Request) -> Vec<u8> {
+async fn build_response(state: &State, request: &Request) -> Vec<u8> {
     let target = std::str::from_utf8(request.target()).unwrap_or_default();
     if target == METRICS_PATH {
         return Message::response(200).body(state.metrics.text().as_bytes());
@@ -105,60 +110,68 @@
     if target == HELD_PATH {
         return Message::response(200).body(state.held_text().as_bytes());
     }
-    if let Some(mark) = target.strip_prefix(RELEASE_PATH) {
-        let is_named = request.method() == b"POST" && !mark.is_empty();
-        let released = if is_named { state.release(mark) } else { 0 };
+    if let Some(fingerprint) = target.strip_prefix(RELEASE_PATH) {
+        let is_valid = request.method() == b"POST" && !fingerprint.is_empty();
+        let released = if is_valid {
+            state.release(fingerprint)
+        } else {
+            0
+        };
         let status = if released > 0 { 200 } else { 404 };
         return Message::response(status).body(format!("released={released}\n").as_bytes());
     }
-    let Some(question) = Question::parse(target) else {
+    let Some(snapshot_request) = SnapshotRequest::parse(target) else {
         return Message::response(404).body(b"");
     };
-    let came = clock::now();
-    wait_for_news(state, &question).await;
-    let takes_compressed = request.fields.lists("accept-encoding", compression::NAME);
-    let packed = state
-        .snapshots
-        .pack(&state.mirror.borrow(), question.after, takes_compressed);
+    let received_at = clock::now();
+    wait_for_changes(state, &snapshot_request).await;
+    let accepts_compression = request
+        .fields
+        .lists("accept-encoding", compression::ENCODING);
+    let encoded = state.snapshots.encode(
+        &state.mirror.borrow(),
+        snapshot_request.after,
+        accepts_compression,
+    );
     state
         .metrics
-        .note_message(Kind::Snapshot, packed.bytes.len());
+        .note_message(Kind::Snapshot, encoded.bytes.len());
     let ages = Ages {
-        word: state.word_age(),
-        fresh: state.fresh_age(),
-        held: clock::now().millis_since(came),
-        last_return: ReturnAge::of(state),
+        last_contact: state.word_age(),
+        last_current: state.fresh_age(),
+        wait: clock::now().millis_since(received_at),
+        last_recovery: RecoveryAge::of(state),
     };
-    let answer = Message::response(200).field(AGES_FIELD.as_bytes(), ages.text().as_bytes());
-    match packed.is_compressed {
-        true => answer
-            .field(b"content-encoding", compression::NAME.as_bytes())
-            .body(&packed.bytes),
-        false => answer.body(&packed.bytes),
+    let response = Message::response(200).field(AGES_FIELD.as_bytes(), ages.text().as_bytes());
+    match encoded.is_compressed {
+        true => response
+            .field(b"content-encoding", compression::ENCODING.as_bytes())
+            .body(&encoded.bytes),
+        false => response.body(&encoded.bytes),
     }
 }
 
-/// Returns once more is known than the asker has, or its time is over.
-async fn wait_for_news(state: &State, question: &Question) {
-    let deadline = clock::now().after_millis(question.wait_millis.min(WAIT_MILLIS));
-    while state.mirror.borrow().at() <= question.after {
-        let news = clock::before(deadline, state.news.notified());
-        if news.await.is_none() {
+/// Returns once a newer revision than requested is known, or the wait time is over.
+async fn wait_for_changes(state: &State, snapshot_request: &SnapshotRequest) {
+    let deadline = clock::now().after_millis(snapshot_request.wait_millis.min(MAX_WAIT_MILLIS));
+    while state.mirror.borrow().at() <= snapshot_request.after {
+        let changes = clock::before(deadline, state.news.notified());
+        if changes.await.is_none() {
             return;
         }
     }
 }
 
-/// What a gateway asks another.
+/// A request for a snapshot to another gateway.
 #[derive(Debug, Clone, Copy)]
-struct Question {
-    /// Revision that it has.
+struct SnapshotRequest {
+    /// Revision that the sender already has.
     after: Revision,
-    /// Milliseconds for which it waits for news.
+    /// Longest time to wait for changes.
     wait_millis: u64,
 }
 
-impl Question {
+impl SnapshotRequest {
     fn target(&self) -> String {
         format!(
             "{SNAPSHOT_PATH}?after={}&wait={}",
@@ -178,65 +191,74 @@
     }
 }
 
-/// Asks a gateway that watches the store for news, and takes it.
+/// Requests changes from a gateway that watches the store, and applies them.
 ///
 /// # Errors
 ///
-/// Where its word does not count: it does not answer, or the store's last word there is older than
-/// `most_age` milliseconds.
-pub async fn ask_watcher(state: &State, client: &mut Client, most_age: u64) -> Result<(), Failure> {
-    let question = Question {
+/// If the gateway doesn't respond, or its last contact with the store is older than `max_age_millis`
+/// milliseconds.
+pub async fn ask_watcher(
+    state: &State,
+    client: &mut Client,
+    max_age_millis: u64,
+) -> Result<(), Failure> {
+    let snapshot_request = SnapshotRequest {
         after: state.mirror.borrow().at(),
-        wait_millis: WAIT_MILLIS,
+        wait_millis: MAX_WAIT_MILLIS,
     };
-    let told = exchange(client, &question, WAIT_MILLIS + SLACK_MILLIS).await;
-    let told = told.ok_or(Failure::Silent)?;
-    let age = told.ages.word;
-    note_outage(state, &told);
-    take(state, told);
-    if age > most_age {
+    let received = exchange(
+        client,
+        &snapshot_request,
+        MAX_WAIT_MILLIS + WAIT_MARGIN_MILLIS,
+    )
+    .await;
+    let received = received.ok_or(Failure::Silent)?;
+    let age = received.ages.last_contact;
+    record_outage(state, &received);
+    apply_snapshot(state, received);
+    if age > max_age_millis {
         return Err(Failure::Old);
     }
     state.note_contact(age);
     Ok(())
 }
 
-/// Asks another gateway for a first copy of the store; false where it has none.
+/// Requests a first copy of the store from another gateway; false if it has none.
 pub async fn ask_first_copy(state: &State, peer: SocketAddr) -> bool {
-    let age = ask(state, peer).await;
+    let age = fetch_snapshot(state, peer).await;
     if let Some(age) = age {
         state.note_contact(age);
     }
     age.is_some()
 }
 
-/// How old what a gateway tells is, in milliseconds when it is told.
+/// Ages of a snapshot in milliseconds at the time of the response.
 #[derive(Debug, Clone, Copy)]
 struct Ages {
-    /// Since the store's last word.
-    word: u64,
-    /// Since this was certainly all that the store held; none where that is not known.
-    fresh: Option<u64>,
-    /// For which the question was held until the answer was made.
-    held: u64,
-    /// The store's last return; none where it was not away lately.
-    last_return: Option<ReturnAge>,
+    /// Time since the last contact with the store.
+    last_contact: u64,
+    /// Time since the snapshot was certainly up to date; none if unknown.
+    last_current: Option<u64>,
+    /// Time for which the request waited.
+    wait: u64,
+    /// Last recovery of the store from an outage; none without a recent outage.
+    last_recovery: Option<RecoveryAge>,
 }
 
-/// The store's last return, as told.
+/// Last recovery of the store from an outage.
 #[derive(Debug, Clone, Copy)]
-struct ReturnAge {
-    /// Milliseconds for which entries that lapsed may still come back.
-    left: u64,
-    /// Revision at which the store was found.
+struct RecoveryAge {
+    /// Remaining time in which missing entries may still be written again.
+    remaining_millis: u64,
+    /// Revision at the recovery.
     revision: Revision,
 }
 
-impl ReturnAge {
+impl RecoveryAge {
     fn of(state: &State) -> Option<Self> {
         let last = state.last_return()?;
         Some(Self {
-            left: last.until.millis_since(clock::now()),
+            remaining_millis: last.until.millis_since(clock::now()),
             revision: last.revision,
         })
     }
@@ -244,25 +266,28 @@
 
 impl Ages {
     fn text(self) -> String {
-        let fresh = self
-            .fresh
-            .map_or_else(String::new, |fresh| fresh.to_string());
-        let last_return = self.last_return.map_or_else(String::new, |last| {
-            format!(",{},{}", last.left, last.revision.0)
+        let last_current = self
+            .last_current
+            .map_or_else(String::new, |age| age.to_string());
+        let last_recovery = self.last_recovery.map_or_else(String::new, |last| {
+            format!(",{},{}", last.remaining_millis, last.revision.0)
         });
-        format!("{},{fresh},{}{last_return}", self.word, self.held)
+        format!(
+            "{},{last_current},{}{last_recovery}",
+            self.last_contact, self.wait
+        )
     }
 
     fn parse(text: &[u8]) -> Option<Self> {
         let mut parts = std::str::from_utf8(text).ok()?.split(',');
         let mut next = || parts.next();
         Some(Self {
-            word: next()?.parse().ok()?,
-            fresh: next()?.parse().ok(),
-            held: next()?.parse().ok()?,
-            last_return: next().zip(next()).and_then(|(left, revision)| {
-                Some(ReturnAge {
-                    left: left.parse().ok()?,
+            last_contact: next()?.parse().ok()?,
+            last_current: next()?.parse().ok(),
+            wait: next()?.parse().ok()?,
+            last_recovery: next().zip(next()).and_then(|(remaining_millis, revision)| {
+                Some(RecoveryAge {
+                    remaining_millis: remaining_millis.parse().ok()?,
                     revision: Revision(revision.parse().ok()?),
                 })
             }),
@@ -270,119 +295,132 @@
     }
 }
 
-/// What another gateway told.
-struct Told {
+/// A snapshot received from another gateway.
+struct ReceivedSnapshot {
     snapshot: Snapshot,
     ages: Ages,
-    /// When it was asked.
-    asked: Instant,
+    /// Time at which the request was sent.
+    sent_at: Instant,
 }
 
-async fn exchange(client: &mut Client, question: &Question, millis: u64) -> Option<Told> {
-    let call = Call::get(question.target());
-    let asked = clock::now();
-    let whole = client.call(&call, millis).await.ok()?;
-    if whole.head.status != 200 {
+async fn exchange(
+    client: &mut Client,
+    snapshot_request: &SnapshotRequest,
+    timeout_millis: u64,
+) -> Option<ReceivedSnapshot> {
+    let call = Call::get(snapshot_request.target());
+    let sent_at = clock::now();
+    let response = client.call(&call, timeout_millis).await.ok()?;
+    if response.head.status != 200 {
         return None;
     }
-    let told = read_told(&whole, asked);
-    if told.is_none() {
-        tracing::warn!(peer = %client.peer(), "a gateway's snapshot is not understood");
+    let received = decode_snapshot(&response, sent_at);
+    if received.is_none() {
+        tracing::warn!(peer = %client.peer(), "invalid snapshot from a gateway");
     }
-    told
+    received
 }
 
-fn read_told(whole: &Whole, asked: Instant) -> Option<Told> {
-    let fields = &whole.head.fields;
+fn decode_snapshot(response: &Whole, sent_at: Instant) -> Option<ReceivedSnapshot> {
+    let fields = &response.head.fields;
     let ages = Ages::parse(fields.get(AGES_FIELD)?)?;
-    let snapshot = match fields.lists("content-encoding", compression::NAME) {
-        true => message::decode(&compression::expand(&whole.body, MAX_ANSWER_BYTES).ok()?),
-        false => message::decode(&whole.body),
+    let snapshot = match fields.lists("content-encoding", compression::ENCODING) {
+        true => message::decode(&compression::decompress(&response.body, MAX_ANSWER_BYTES).ok()?),
+        false => message::decode(&response.body),
     };
-    Some(Told {
+    Some(ReceivedSnapshot {
         snapshot: snapshot?,
         ages,
-        asked,
+        sent_at,
     })
 }
 
-/// Notes whether the store was away, before anything that it lacks is taken for gone.
-fn note_outage(state: &State, told: &Told) {
-    let ages = &told.ages;
-    // The answer was made so long after the question at least.
-    let made = told.asked.after_millis(ages.held);
-    let answered = ages
-        .fresh
-        .map(|fresh| Instant::from_millis(made.as_millis().saturating_sub(fresh)));
-    let last_return = ages.last_return.map(|last| Return {
+/// Records an outage of the store before entries that are missing since then count as removed.
+fn record_outage(state: &State, received: &ReceivedSnapshot) {
+    let ages = &received.ages;
+    // The response was created at least this long after the request.
+    let created_at = received.sent_at.after_millis(ages.wait);
+    let confirmed_at = ages
+        .last_current
+        .map(|age| Instant::from_millis(created_at.as_millis().saturating_sub(age)));
+    let last_recovery = ages.last_recovery.map(|last| Return {
         revision: last.revision,
-        until: made.after_millis(last.left),
+        until: created_at.after_millis(last.remaining_millis),
     });
-    state.note_told_outage(answered, last_return);
+    state.note_told_outage(confirmed_at, last_recovery);
 }
 
-fn take(state: &State, told: Told) {
-    let at = Revision(told.snapshot.at);
-    let items = told.snapshot.items.into_iter();
+fn apply_snapshot(state: &State, received: ReceivedSnapshot) {
+    let at = Revision(received.snapshot.at);
+    let items = received.snapshot.items.into_iter();
     let items = items.map(SharedItem::item).collect();
-    if told.snapshot.is_changes {
+    if received.snapshot.is_changes {
         state.apply(items, at);
     } else {
         state.replace(items, at);
     }
-    state.note_told(told.asked, told.ages.fresh, told.ages.held);
+    state.note_told(
+        received.sent_at,
+        received.ages.last_current,
+        received.ages.wait,
+    );
 }
 
-/// Asks peers for as long as the store does not answer. Their answers are waited for: a large one takes
-/// its time, and another one beside it only makes both take longer.
+/// Polls peers while the store is unreachable. Waits for all responses, as concurrent transfers of
+/// large ones would slow each other down.
 pub async fn follow(state: Rc<State>) {
     loop {
-        clock::pause(ASK_EVERY_MILLIS).await;
+        clock::pause(POLL_INTERVAL_MILLIS).await;
         if !state.lacks_contact() {
             continue;
         }
-        let asks = peers(&state).into_iter().map(|peer| ask(&state, peer));
-        join_all(asks).await;
+        let polls = choose_peers(&state)
+            .into_iter()
+            .map(|peer| fetch_snapshot(&state, peer));
+        join_all(polls).await;
     }
 }
 
-/// Gateways to ask: those of the own zone, and where this one watches the store for it, those of all
-/// zones: a configuration of a megabyte would otherwise cross regions once for each gateway.
-fn peers(state: &State) -> Vec<SocketAddr> {
+/// Gateways to poll: those of the own zone, or those of all zones if this gateway watches the store
+/// for its zone. That limits transfers of a large configuration between regions.
+fn choose_peers(state: &State) -> Vec<SocketAddr> {
     let own = state.settings.control;
-    let near = state.neighbours();
-    let mut peers: Vec<SocketAddr> = match watching::is_watcher(own, near.iter().copied()) {
+    let zone_peers = state.neighbours();
+    let mut peers: Vec<SocketAddr> = match watching::is_watcher(own, zone_peers.iter().copied()) {
         true => {
-            let heard = state.living_gateways().into_iter();
-            let heard = heard.map(|place| SocketAddr::new(place.address.ip(), own.port()));
-            heard.chain(state.settings.seeds.iter().copied()).collect()
+            let reachable = state.living_gateways().into_iter();
+            let reachable =
+                reachable.map(|gateway| SocketAddr::new(gateway.address.ip(), own.port()));
+            reachable
+                .chain(state.settings.seeds.iter().copied())
+                .collect()
         }
-        false => near,
+        false => zone_peers,
     };
     peers.retain(|peer| *peer != own);
     peers.sort_unstable();
     peers.dedup();
     fastrand::shuffle(&mut peers);
-    peers.truncate(ASKED);
+    peers.truncate(MAX_POLLED_PEERS);
     peers
 }
 
-/// Takes what another gateway knows and this one does not; gives the milliseconds since the store's last word
-/// there, where there was any of it.
-async fn ask(state: &State, peer: SocketAddr) -> Option<u64> {
+/// Applies a newer snapshot of another gateway; returns the age of its last contact with the store,
+/// or none if it has nothing newer.
+async fn fetch_snapshot(state: &State, peer: SocketAddr) -> Option<u64> {
     let after = state.mirror.borrow().at();
-    let question = Question {
+    let snapshot_request = SnapshotRequest {
         after,
         wait_millis: 0,
     };
     let mut client = Client::of_gateway(peer);
-    let told = exchange(&mut client, &question, ANSWER_MILLIS).await?;
-    note_outage(state, &told);
-    if told.snapshot.at <= after.0 {
+    let received = exchange(&mut client, &snapshot_request, RESPONSE_TIMEOUT_MILLIS).await?;
+    record_outage(state, &received);
+    if received.snapshot.at <= after.0 {
         return None;
     }
-    let age = told.ages.word;
-    tracing::info!(%peer, at = told.snapshot.at, had = after.0, age, "snapshot taken from a gateway");
-    take(state, told);
+    let age = received.ages.last_contact;
+    tracing::info!(%peer, at = received.snapshot.at, had = after.0, age, "snapshot taken from a gateway");
+    apply_snapshot(state, received);
     Some(age)
 }
--- a/crates/gingerpier_gateway/src/snapshots.rs
+++ b/crates/gingerpier_gateway/src/snapshots.rs
@@ -1,7 +1,7 @@
-//! Snapshots of the mirror as they are sent to other gateways, made once for all who ask for the same.
+//! Cache of encoded snapshots, which are created once for all gateways that request the same.
 //!
-//! A configuration of a megabyte takes a gateway with a quarter of a core some 0.2 s to compress, and a dozen
-//! others of its zone ask for it within a few milliseconds.
+//! Compressing a large configuration is slow, and the gateways of a zone request it at nearly the
+//! same time.
 
 use {
     crate::{
@@ -13,70 +13,71 @@
     std::cell::RefCell,
 };
 
-/// Snapshots that are kept: the newest changes, and whole copies for those that start.
-const MOST_KEPT: usize = 3;
+/// Cached snapshots: the latest changes, and full copies for starting gateways.
+const MAX_CACHED: usize = 3;
 
-/// Bytes of a message.
+/// An encoded snapshot.
 #[derive(Debug, Clone)]
-pub struct Packed {
-    /// Bytes.
+pub struct EncodedSnapshot {
+    /// Encoded message.
     pub bytes: Bytes,
-    /// True where they are compressed.
+    /// True if `bytes` is compressed.
     pub is_compressed: bool,
 }
 
-/// What a snapshot tells.
+/// Identifies the content and encoding of a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Span {
+struct SnapshotKey {
     after: Revision,
     at: Revision,
-    /// What the mirror held: pages of a copy are newer than the revision that it reaches to.
+    /// Changes of the mirror so far; the pages of a full copy may be newer than `at`.
     change_count: u64,
     may_compress: bool,
 }
 
-/// Snapshots that were made lately.
+/// Recently created snapshots.
 #[derive(Debug, Default)]
 pub struct Snapshots {
-    made: RefCell<Vec<(Span, Packed)>>,
+    recent: RefCell<Vec<(SnapshotKey, EncodedSnapshot)>>,
 }
 
 impl Snapshots {
-    /// What `mirror` knows behind `after`, or all of it where the changes since are not known.
-    pub fn pack(&self, mirror: &Mirror, after: Revision, may_compress: bool) -> Packed {
-        let span = Span {
+    /// Encodes the changes of `mirror` after `after`, or its full content if those changes are
+    /// unknown.
+    pub fn encode(&self, mirror: &Mirror, after: Revision, may_compress: bool) -> EncodedSnapshot {
+        let key = SnapshotKey {
             after,
             at: mirror.at(),
             change_count: mirror.change_count(),
             may_compress,
         };
-        let mut made = self.made.borrow_mut();
-        if let Some((_, packed)) = made.iter().find(|(known, _)| *known == span) {
-            return packed.clone();
+        let mut recent = self.recent.borrow_mut();
+        if let Some((_, encoded)) = recent.iter().find(|(existing, _)| *existing == key) {
+            return encoded.clone();
         }
-        let packed = pack(mirror, span);
-        made.insert(0, (span, packed.clone()));
-        made.truncate(MOST_KEPT);
-        packed
+        let encoded = encode(mirror, key);
+        recent.insert(0, (key, encoded.clone()));
+        recent.truncate(MAX_CACHED);
+        encoded
     }
 }
 
-fn pack(mirror: &Mirror, span: Span) -> Packed {
-    let changes = mirror.changes_after(span.after);
+fn encode(mirror: &Mirror, key: SnapshotKey) -> EncodedSnapshot {
+    let changes = mirror.changes_after(key.after);
     let is_changes = changes.is_some();
     let items = changes.unwrap_or_else(|| mirror.items().collect());
     let body = message::encode(&Snapshot {
-        at: span.at.0,
+        at: key.at.0,
         items: items.into_iter().map(SharedItem::new).collect(),
         is_changes,
     });
-    let shrunk = span.may_compress.then(|| compression::shrink(&body));
-    match shrunk.flatten() {
-        Some(shrunk) => Packed {
-            bytes: shrunk.into(),
+    let compressed = key.may_compress.then(|| compression::compress(&body));
+    match compressed.flatten() {
+        Some(compressed) => EncodedSnapshot {
+            bytes: compressed.into(),
             is_compressed: true,
         },
-        None => Packed {
+        None => EncodedSnapshot {
             bytes: body.into(),
             is_compressed: false,
         },
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -1,11 +1,10 @@
-//! Brings the chunks of a version here, from other processes and the origin.
+//! Fetches the chunks of a version from other processes and the origin.
 
 use {
     super::{
-        Carrier,
-        asking::{Asking, Event},
-        holding, manifest,
-        sources::{Sources, Task},
+        Carrier, cache, manifest,
+        request::{ChunkRequest, Event},
+        sources::{FetchSpec, Sources},
     },
     crate::{client::Client, clock, pool::Pool},
     actix_rt::task::JoinHandle,
@@ -19,273 +18,287 @@
     tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel},
 };
 
-/// Milliseconds that the engine may take for a chunk that lies there.
-const ENGINE_MILLIS: u64 = 700;
+/// Timeout for reading a staged chunk from the engine.
+const ENGINE_TIMEOUT_MILLIS: u64 = 700;
 
-/// Chunks asked for at the origin at once by one process: the next one waits while one comes.
-const ORIGIN_AT_ONCE: usize = 2;
+/// Concurrent chunk requests to the origin: one transfers while the next waits.
+const MAX_ORIGIN_REQUESTS: usize = 2;
 
-/// How chunks are fetched.
 const TERMS: Terms = Terms {
     window: 24,
     stall_millis: 1_200,
     patience_millis: 4_000,
     pause_millis: 100,
-    origin_at_once: ORIGIN_AT_ONCE,
+    origin_at_once: MAX_ORIGIN_REQUESTS,
 };
 
-/// Milliseconds between looks at stalled attempts.
-const TICK_MILLIS: u64 = 50;
+/// Interval between checks for stalled requests.
+const POLL_INTERVAL_MILLIS: u64 = 50;
 
-/// Milliseconds without a chunk after which the sources are looked at anew.
-const OUTDATED_MILLIS: u64 = 700;
+/// Time without a new chunk after which changed sources replace the current ones.
+const SOURCE_CHECK_MILLIS: u64 = 700;
 
-/// Milliseconds between two narrowings.
-const NARROW_EVERY_MILLIS: u64 = 300;
+/// Least time between two reductions of the request window.
+const MIN_NARROW_INTERVAL_MILLIS: u64 = 300;
 
-/// Wrong chunks from the origin after which its manifest is doubted.
-const DOUBTS: u32 = 6;
+/// Corrupt chunks from the origin after which the manifest itself is fetched again.
+const MAX_CORRUPT_ORIGIN_CHUNKS: u32 = 6;
 
-/// Brings a whole version here along what `task` says; gives the version that it turned out to be.
+/// Fetches a whole version as `spec` describes and returns the version that was found.
 ///
-/// `task` is asked anew where nothing has come for a while and it names other sources by then:
-/// those that were known at first may be gone.
-pub async fn fetch(carrier: &Rc<Carrier>, task: impl Fn() -> Task) -> Named {
+/// Evaluates `spec` again when the fetch stalls, and restarts with its sources if they changed.
+pub async fn fetch(carrier: &Rc<Carrier>, spec: impl Fn() -> FetchSpec) -> Named {
     loop {
-        let along = task();
+        let current = spec();
         tokio::select! {
-            named = fetch_along(carrier, &along) => return named,
-            () = until_outdated(carrier, &along, &task) => {
-                tracing::info!(version = along.named.version.0, "fetch goes on along other sources");
+            model_version = fetch_with(carrier, &current) => return model_version,
+            () = wait_for_changed_sources(carrier, &current, &spec) => {
+                tracing::info!(version = current.model_version.version.0, "fetch restarted with changed sources");
             }
         }
     }
 }
 
-/// Returns once nothing has come for a while and `task` names other sources than `along`.
-async fn until_outdated(carrier: &Carrier, along: &Task, task: &impl Fn() -> Task) {
-    let mut held = carrier.held_count(&along.named);
+/// Returns once no chunk arrived for a while and `spec` has other sources than `current`.
+async fn wait_for_changed_sources(
+    carrier: &Carrier,
+    current: &FetchSpec,
+    spec: &impl Fn() -> FetchSpec,
+) {
+    let mut last_count = carrier.cached_count(&current.model_version);
     loop {
-        clock::pause(OUTDATED_MILLIS).await;
-        let now_held = carrier.held_count(&along.named);
-        let now = task();
-        let has_changed = now.peers != along.peers || now.origin != along.origin;
-        if now_held == held && has_changed {
+        clock::pause(SOURCE_CHECK_MILLIS).await;
+        let count = carrier.cached_count(&current.model_version);
+        let latest = spec();
+        let has_changed = latest.peers != current.peers || latest.origin != current.origin;
+        if count == last_count && has_changed {
             return;
         }
-        held = now_held;
+        last_count = count;
     }
 }
 
-async fn fetch_along(carrier: &Rc<Carrier>, task: &Task) -> Named {
-    let sources = Rc::new(Sources::new(task));
+async fn fetch_with(carrier: &Rc<Carrier>, spec: &FetchSpec) -> Named {
+    let sources = Rc::new(Sources::new(spec));
     loop {
-        let named = manifest::hold(carrier, &sources, &task.route, &task.named).await;
-        take_shared(carrier, &named);
-        take_laid(carrier, &named).await;
-        let work = Work::new(carrier.clone(), sources.clone(), task, named.clone());
-        if work.run().await == Ended::Complete {
-            return named;
+        let model_version =
+            manifest::fetch(carrier, &sources, &spec.route, &spec.model_version).await;
+        copy_shared_chunks(carrier, &model_version);
+        read_staged_chunks(carrier, &model_version).await;
+        let download = Download::new(
+            carrier.clone(),
+            sources.clone(),
+            spec,
+            model_version.clone(),
+        );
+        if download.run().await == DownloadEnd::Complete {
+            return model_version;
         }
-        // The manifest is what can be wrong where right sources give wrong chunks.
-        let mut holdings = carrier.holdings.borrow_mut();
-        holdings.remove(&named.model, named.version);
+        // If even the origin's chunks mismatch, the manifest is likely corrupt.
+        let mut chunk_cache = carrier.chunk_cache.borrow_mut();
+        chunk_cache.remove(&model_version.model, model_version.version);
     }
 }
 
-/// How a fetch ended.
+/// How a download ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ended {
-    /// Every chunk is here.
+enum DownloadEnd {
+    /// Every chunk is cached.
     Complete,
-    /// The origin's own chunks do not fit the manifest.
-    Doubted,
+    /// Chunks from the origin don't match the manifest.
+    ManifestSuspect,
 }
 
-/// Takes chunks that another version here has, too.
-fn take_shared(carrier: &Carrier, named: &Named) {
+/// Copies chunks that another cached version shares.
+fn copy_shared_chunks(carrier: &Carrier, model_version: &Named) {
     let shared = carrier
-        .holdings
+        .chunk_cache
         .borrow_mut()
-        .share(&named.model, named.version);
+        .copy_shared_chunks(&model_version.model, model_version.version);
     if shared > 0 {
         tracing::info!(
-            version = named.version.0,
+            version = model_version.version.0,
             shared,
-            "chunks of another version taken"
+            "chunks reused from another version"
         );
     }
 }
 
-/// Takes what lies at the engine already.
-async fn take_laid(carrier: &Rc<Carrier>, named: &Named) {
-    let Some(manifest) = carrier.manifest(named) else {
+/// Reads chunks that are staged at the engine.
+async fn read_staged_chunks(carrier: &Rc<Carrier>, model_version: &Named) {
+    let Some(manifest) = carrier.manifest(model_version) else {
         return;
     };
     let served = carrier.served.borrow().clone();
-    if served.is_some_and(|served| served != *named) {
-        // What lies there is what the engine was last given: another version.
+    if served.is_some_and(|served| served != *model_version) {
+        // The engine's staging area holds another version.
         return;
     }
     let Some(engine) = carrier.engine else { return };
     let mut client = Client::new(engine);
     for chunk in 0..manifest.digests.len() as u32 {
-        let question = carrier.dialect.laid_chunk(&named.model, chunk);
-        let Ok(whole) = client.call(&question, ENGINE_MILLIS).await else {
+        let call = carrier.dialect.laid_chunk(&model_version.model, chunk);
+        let Ok(response) = client.call(&call, ENGINE_TIMEOUT_MILLIS).await else {
             return;
         };
-        let is_here = whole.head.status == 200;
-        if is_here && holding::is_right(&manifest, chunk, &whole.body) {
-            carrier.put(named, chunk, whole.body);
+        let is_present = response.head.status == 200;
+        if is_present && cache::matches_digest(&manifest, chunk, &response.body) {
+            carrier.insert_chunk(model_version, chunk, response.body);
         } else if chunk == 0 {
             return;
         }
     }
 }
 
-/// A fetch under way.
-struct Work {
+/// A running download of a version.
+struct Download {
     carrier: Rc<Carrier>,
     sources: Rc<Sources>,
-    named: Named,
+    model_version: Named,
     fetch: Fetch,
     pool: Rc<RefCell<Pool<SocketAddr>>>,
     sender: UnboundedSender<Event>,
     events: UnboundedReceiver<Event>,
     patience_millis: u64,
-    /// Questions under way, by attempt.
-    asking: HashMap<u64, JoinHandle<()>>,
-    /// What narrowing asks for.
+    /// Running requests by attempt id.
+    in_flight: HashMap<u64, JoinHandle<()>>,
+    /// Actions from shrinking the request window, to be run with the next poll.
     actions: Vec<Action>,
-    narrowed: Instant,
-    doubts: u32,
-    from_origin: u32,
+    last_narrowed: Instant,
+    corrupt_origin_chunks: u32,
+    origin_chunks: u32,
 }
 
-impl Drop for Work {
+impl Drop for Download {
     fn drop(&mut self) {
-        // A fetch that was given up must not go on taking the link.
-        for task in self.asking.values() {
-            task.abort();
+        // Requests of a canceled fetch must not occupy the link.
+        for request in self.in_flight.values() {
+            request.abort();
         }
     }
 }
 
-impl Work {
-    fn new(carrier: Rc<Carrier>, sources: Rc<Sources>, task: &Task, named: Named) -> Self {
+impl Download {
+    fn new(
+        carrier: Rc<Carrier>,
+        sources: Rc<Sources>,
+        spec: &FetchSpec,
+        model_version: Named,
+    ) -> Self {
         let terms = Terms {
-            window: task.window,
-            patience_millis: task.patience_millis,
+            window: spec.window,
+            patience_millis: spec.patience_millis,
             ..TERMS
         };
-        let manifest = carrier.manifest(&named);
+        let manifest = carrier.manifest(&model_version);
         let count = manifest.map_or(0, |manifest| manifest.digests.len());
-        let own = task.route.entries(count as u32);
-        let mut fetch = Fetch::along(terms, task.route.clone(), count as u32);
-        let holdings = carrier.holdings.borrow();
-        if let Some(holding) = holdings.get(&named.model, named.version) {
+        let entry_chunks = spec.route.entries(count as u32);
+        let mut fetch = Fetch::along(terms, spec.route.clone(), count as u32);
+        let chunk_cache = carrier.chunk_cache.borrow();
+        if let Some(chunk_set) = chunk_cache.get(&model_version.model, model_version.version) {
             for chunk in 0..count as u32 {
-                if holding.chunk(chunk).is_some() {
+                if chunk_set.chunk(chunk).is_some() {
                     fetch.note_held(chunk);
                 }
             }
         }
-        drop(holdings);
-        // What enters here is asked for ahead of the window: the origin's link must not rest while
-        // everyone waits for the chunks of one window to go round.
-        for chunk in own {
+        drop(chunk_cache);
+        // Chunks that enter the zone here bypass the window, so that the origin's link never idles.
+        for chunk in entry_chunks {
             fetch.want(chunk);
         }
-        if let Some(width) = carrier.width.get() {
+        if let Some(width) = carrier.last_window.get() {
             fetch.start_with(width);
         }
         let (sender, events) = unbounded_channel();
         Self {
             carrier,
             sources,
-            named,
+            model_version,
             fetch,
             pool: Rc::default(),
             sender,
             events,
             patience_millis: terms.patience_millis,
-            asking: HashMap::new(),
+            in_flight: HashMap::new(),
             actions: Vec::new(),
-            narrowed: Instant::default(),
-            doubts: 0,
-            from_origin: 0,
+            last_narrowed: Instant::default(),
+            corrupt_origin_chunks: 0,
+            origin_chunks: 0,
         }
     }
 
-    async fn run(mut self) -> Ended {
+    async fn run(mut self) -> DownloadEnd {
         let started = clock::now();
-        let mut look_at = started;
+        let mut next_poll = started;
         loop {
             let mut actions = std::mem::take(&mut self.actions);
             let now = clock::now();
-            self.fetch.note_look(look_at, now);
+            self.fetch.note_look(next_poll, now);
             self.fetch.poll(now, &mut actions);
-            look_at = now.after_millis(TICK_MILLIS);
+            next_poll = now.after_millis(POLL_INTERVAL_MILLIS);
             for action in actions {
                 match action {
                     Action::Ask {
                         chunk,
                         source,
                         attempt,
-                    } => self.ask(chunk, source, attempt),
+                    } => self.start_request(chunk, source, attempt),
                     Action::Drop {
                         chunk,
                         source,
                         attempt,
                     } => {
-                        tracing::info!(chunk, ?source, "question for a chunk dropped");
-                        if let Some(task) = self.asking.remove(&attempt) {
-                            task.abort();
+                        tracing::info!(chunk, ?source, "chunk request canceled");
+                        if let Some(request) = self.in_flight.remove(&attempt) {
+                            request.abort();
                         }
                     }
                     Action::Complete => {
                         let took = clock::now().millis_since(started);
-                        self.carrier.width.set(Some(self.fetch.width()));
+                        self.carrier.last_window.set(Some(self.fetch.width()));
                         tracing::info!(
-                            version = self.named.version.0,
+                            version = self.model_version.version.0,
                             took,
-                            from_origin = self.from_origin,
+                            from_origin = self.origin_chunks,
                             "weights complete"
                         );
-                        return Ended::Complete;
+                        return DownloadEnd::Complete;
                     }
                 }
             }
-            if self.doubts > DOUBTS {
-                tracing::error!("chunks of the origin do not fit the manifest; it is taken anew");
-                return Ended::Doubted;
+            if self.corrupt_origin_chunks > MAX_CORRUPT_ORIGIN_CHUNKS {
+                tracing::error!(
+                    "chunks from the origin don't match the manifest; fetching the manifest again"
+                );
+                return DownloadEnd::ManifestSuspect;
             }
-            if let Some(Some(event)) = clock::before(look_at, self.events.recv()).await {
-                self.note(event);
+            if let Some(Some(event)) = clock::before(next_poll, self.events.recv()).await {
+                self.handle_event(event);
                 while let Ok(event) = self.events.try_recv() {
-                    self.note(event);
+                    self.handle_event(event);
                 }
             }
         }
     }
 
-    fn note(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = clock::now();
         match event {
-            Event::Slow
+            Event::SlowTransfer
                 if self
-                    .narrowed
-                    .after_millis(NARROW_EVERY_MILLIS)
+                    .last_narrowed
+                    .after_millis(MIN_NARROW_INTERVAL_MILLIS)
                     .has_passed(now) =>
             {
-                self.narrowed = now;
+                self.last_narrowed = now;
                 self.fetch.narrow(&mut self.actions);
                 tracing::info!(
                     width = self.fetch.width(),
-                    "chunks come slowly: fewer at once"
+                    "slow chunk transfer; request window reduced"
                 );
             }
-            Event::Slow => {}
+            Event::SlowTransfer => {}
             Event::Progress { chunk, attempt } => self.fetch.progress(chunk, attempt, now),
             Event::End {
                 chunk,
@@ -293,21 +306,22 @@
                 outcome,
                 source,
             } => {
-                self.asking.remove(&attempt);
+                self.in_flight.remove(&attempt);
                 if outcome == Outcome::Corrupt {
-                    tracing::warn!(chunk, ?source, "chunk has another digest");
-                    self.doubts += u32::from(source == Source::Origin);
+                    tracing::warn!(chunk, ?source, "chunk digest mismatch");
+                    self.corrupt_origin_chunks += u32::from(source == Source::Origin);
                 }
                 if !matches!(outcome, Outcome::Held | Outcome::Corrupt) {
-                    tracing::info!(chunk, ?source, ?outcome, "chunk not had");
+                    tracing::info!(chunk, ?source, ?outcome, "chunk request failed");
                 }
-                self.from_origin += u32::from(outcome == Outcome::Held && source == Source::Origin);
+                self.origin_chunks +=
+                    u32::from(outcome == Outcome::Held && source == Source::Origin);
                 self.fetch.end(chunk, attempt, outcome, now);
             }
         }
     }
 
-    fn ask(&mut self, chunk: u32, source: Source, attempt: u64) {
+    fn start_request(&mut self, chunk: u32, source: Source, attempt: u64) {
         let Some(address) = self.sources.address(source) else {
             let outcome = Outcome::Failed;
             let end = Event::End {
@@ -316,13 +330,13 @@
                 outcome,
                 source,
             };
-            // The receiver is this fetch itself.
+            // The receiver is a field of this download.
             let _ = self.sender.send(end);
             return;
         };
-        let asking = Asking {
+        let request = ChunkRequest {
             carrier: self.carrier.clone(),
-            named: self.named.clone(),
+            model_version: self.model_version.clone(),
             sources: self.sources.clone(),
             pool: self.pool.clone(),
             sender: self.sender.clone(),
@@ -332,6 +346,7 @@
             address,
             deadline: clock::now().after_millis(self.patience_millis),
         };
-        self.asking.insert(attempt, actix_rt::spawn(asking.run()));
+        self.in_flight
+            .insert(attempt, actix_rt::spawn(request.run()));
     }
 }
--- a/crates/gingerpier_gateway/src/weights/manifest.rs
+++ b/crates/gingerpier_gateway/src/weights/manifest.rs
@@ -1,10 +1,10 @@
-//! Manifests: everything else is checked against them.
+//! Fetches manifests, which all other data is verified against.
 
 use {
     super::{
         Carrier,
-        holding::{Holding, Holdings},
-        peers::{Mode, Question},
+        cache::{ChunkCache, ChunkSet},
+        peers::{Mode, PeerRequest},
         sources::Sources,
     },
     crate::{client::Client, clock},
@@ -15,117 +15,129 @@
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// Milliseconds that a manifest may take from one source.
-const MANIFEST_MILLIS: u64 = 700;
+/// Timeout for one manifest request.
+const MANIFEST_TIMEOUT_MILLIS: u64 = 700;
 
-/// Reads of a manifest at the origin in a row, before a pause.
-const MANIFEST_READS: u32 = 4;
+/// Manifest reads from the origin between pauses.
+const MAX_ORIGIN_READS: u32 = 4;
 
-/// Milliseconds before a source that failed is asked again.
-const PAUSE_MILLIS: u64 = 100;
+/// Pause before a failed source is tried again.
+const RETRY_PAUSE_MILLIS: u64 = 100;
 
-/// Milliseconds after which the origin is asked also by those that are not the first to take chunks:
-/// two copies of a manifest, its reads at the origin and two hops are over by then.
-const ORIGIN_LATER_MILLIS: u64 = 900;
+/// Delay before processes that don't fetch from the origin first request the manifest there. Covers
+/// its reads at the origin and two hops.
+const ORIGIN_DELAY_MILLIS: u64 = 900;
 
-/// Sources that are asked at once. They are the first in order: those of the own zone, and then one
+/// Peers requested concurrently: the first in route order, which covers the own zone and one peer
 /// of each other zone.
-const SOURCES_AT_ONCE: usize = 6;
+const MAX_PEER_SOURCES: usize = 6;
 
-/// Brings the manifest of a version here, from whichever source of `route` has it first; gives the version
-/// that it turned out to be.
+/// Fetches the manifest of a version from the first source of `route` that returns it, and returns
+/// the version that was found.
 ///
-/// Sources are asked side by side, each until it answers: any of them may be down for seconds,
-/// and whoever waits for one after the other learns late that the manifest is to be had again.
-/// Manifests are small.
-pub async fn hold(
+/// Polls all sources concurrently, because any of them may be down for seconds.
+pub async fn fetch(
     carrier: &Rc<Carrier>,
     sources: &Rc<Sources>,
     route: &Route,
-    named: &Named,
+    model_version: &Named,
 ) -> Named {
-    let is_here = |holdings: &Holdings| holdings.get(&named.model, named.version).is_some();
-    if is_here(&carrier.holdings.borrow()) {
-        return named.clone();
+    let is_cached = |chunk_cache: &ChunkCache| {
+        chunk_cache
+            .get(&model_version.model, model_version.version)
+            .is_some()
+    };
+    if is_cached(&carrier.chunk_cache.borrow()) {
+        return model_version.clone();
     }
-    let mut order = Vec::new();
-    route.sources(0, &mut order);
-    let origin_after = match route.is_near_origin() {
+    let mut route_sources = Vec::new();
+    route.sources(0, &mut route_sources);
+    let origin_delay = match route.is_near_origin() {
         true => 0,
-        false => ORIGIN_LATER_MILLIS,
+        false => ORIGIN_DELAY_MILLIS,
     };
-    let peers = order.iter().filter(|source| **source != Source::Origin);
-    let origin = order.iter().filter(|source| **source == Source::Origin);
-    let asked = origin.chain(peers.take(SOURCES_AT_ONCE));
-    let asked = asked.filter_map(|source| Some((*source, sources.address(*source)?)));
-    let asking = asked.map(|(source, address)| {
-        let after = match source {
-            Source::Origin => origin_after,
+    let peers = route_sources
+        .iter()
+        .filter(|source| **source != Source::Origin);
+    let origin = route_sources
+        .iter()
+        .filter(|source| **source == Source::Origin);
+    let candidates = origin.chain(peers.take(MAX_PEER_SOURCES));
+    let candidates = candidates.filter_map(|source| Some((*source, sources.address(*source)?)));
+    let requests = candidates.map(|(source, address)| {
+        let delay = match source {
+            Source::Origin => origin_delay,
             Source::Replica(_) | Source::Holder(_) => 0,
         };
-        let answer = async move {
-            clock::pause(after).await;
-            ask_until_had(carrier, source, address, named).await
+        let request = async move {
+            clock::pause(delay).await;
+            poll_source(carrier, source, address, model_version).await
         };
-        answer.boxed_local()
+        request.boxed_local()
     });
-    let asking: Vec<_> = asking.collect();
-    if asking.is_empty() {
-        // Nobody is known who could have it: sources are looked at anew by whoever asked for it.
+    let requests: Vec<_> = requests.collect();
+    if requests.is_empty() {
+        // Without a source, the caller restarts this once its sources change.
         return std::future::pending().await;
     }
-    let (had, _, _) = future::select_all(asking).await;
-    note_manifest(carrier, had)
+    let (fetched, _, _) = future::select_all(requests).await;
+    cache_manifest(carrier, fetched)
 }
 
-/// A manifest that was read.
-struct Had {
+/// A parsed manifest and its source.
+struct FetchedManifest {
     manifest: Manifest,
     bytes: Bytes,
     source: SocketAddr,
 }
 
-/// Asks one source again and again until it gives the manifest.
-async fn ask_until_had(
+/// Polls one source until it returns the manifest.
+async fn poll_source(
     carrier: &Carrier,
     source: Source,
     address: SocketAddr,
-    named: &Named,
-) -> Had {
+    model_version: &Named,
+) -> FetchedManifest {
     let mut client = Client::new(address);
-    let mut is_told = false;
+    let mut is_logged = false;
     loop {
         let bytes = match source {
-            Source::Origin => origin_manifest(carrier, &mut client, named).await,
-            Source::Replica(_) | Source::Holder(_) => peer_manifest(&mut client, named).await,
+            Source::Origin => read_from_origin(carrier, &mut client, model_version).await,
+            Source::Replica(_) | Source::Holder(_) => {
+                read_from_peer(&mut client, model_version).await
+            }
         };
         let manifest = bytes.and_then(|bytes| {
             let manifest = carrier.dialect.read_manifest(200, &bytes).ok()?;
             Some((manifest, bytes))
         });
         if let Some((manifest, bytes)) = manifest {
-            return Had {
+            return FetchedManifest {
                 manifest,
                 bytes,
                 source: address,
             };
         }
-        if !std::mem::replace(&mut is_told, true) {
-            tracing::info!(version = named.version.0, source = %address, "manifest not had yet");
+        if !std::mem::replace(&mut is_logged, true) {
+            tracing::info!(version = model_version.version.0, source = %address, "manifest not had yet");
         }
-        clock::pause(PAUSE_MILLIS).await;
+        clock::pause(RETRY_PAUSE_MILLIS).await;
     }
 }
 
-/// Asks the origin for the manifest of `named`, of its newest version where that is 0, and holds it; gives the
-/// version that it is of.
-pub async fn ask_origin(carrier: &Carrier, origin: &mut Client, named: &Named) -> Option<Named> {
-    let bytes = origin_manifest(carrier, origin, named).await?;
+/// Reads the manifest of `model_version` from the origin and caches it; version 0 stands for the
+/// newest. Returns the version that was found.
+pub async fn fetch_from_origin(
+    carrier: &Carrier,
+    origin: &mut Client,
+    model_version: &Named,
+) -> Option<Named> {
+    let bytes = read_from_origin(carrier, origin, model_version).await?;
     let manifest = carrier.dialect.read_manifest(200, &bytes).ok()?;
     let source = origin.peer();
-    Some(note_manifest(
+    Some(cache_manifest(
         carrier,
-        Had {
+        FetchedManifest {
             manifest,
             bytes,
             source,
@@ -133,53 +145,61 @@
     ))
 }
 
-fn note_manifest(carrier: &Carrier, had: Had) -> Named {
-    let Had {
+fn cache_manifest(carrier: &Carrier, fetched: FetchedManifest) -> Named {
+    let FetchedManifest {
         manifest,
         bytes,
         source,
-    } = had;
-    let named = Named {
+    } = fetched;
+    let model_version = Named {
         model: manifest.model.clone(),
         version: manifest.version,
     };
     let chunks = manifest.digests.len();
-    tracing::info!(model = named.model, version = named.version.0, chunks, %source, "manifest taken");
-    let holding = Holding::new(manifest, bytes);
-    carrier.holdings.borrow_mut().add(holding);
+    tracing::info!(model = model_version.model, version = model_version.version.0, chunks, %source, "manifest taken");
+    let chunk_set = ChunkSet::new(manifest, bytes);
+    carrier.chunk_cache.borrow_mut().insert(chunk_set);
     carrier.arrived.notify_waiters();
-    named
+    model_version
 }
 
-/// Manifest of the origin, read until it came twice the same: it may be spoilt on its way, and
-/// everything else is checked against it.
-async fn origin_manifest(carrier: &Carrier, origin: &mut Client, named: &Named) -> Option<Bytes> {
-    let question = carrier.dialect.manifest(named);
-    let mut seen: Vec<Bytes> = Vec::new();
-    for _ in 0..MANIFEST_READS {
-        let whole = origin.call(&question, MANIFEST_MILLIS).await.ok()?;
-        let status = whole.head.status;
-        if carrier.dialect.read_manifest(status, &whole.body).is_err() {
+/// Reads the manifest from the origin until two reads agree, as a corrupt manifest would invalidate
+/// every check against it.
+async fn read_from_origin(
+    carrier: &Carrier,
+    origin: &mut Client,
+    model_version: &Named,
+) -> Option<Bytes> {
+    let call = carrier.dialect.manifest(model_version);
+    let mut earlier_reads: Vec<Bytes> = Vec::new();
+    for _ in 0..MAX_ORIGIN_READS {
+        let response = origin.call(&call, MANIFEST_TIMEOUT_MILLIS).await.ok()?;
+        let status = response.head.status;
+        if carrier
+            .dialect
+            .read_manifest(status, &response.body)
+            .is_err()
+        {
             continue;
         }
-        if seen.contains(&whole.body) {
-            return Some(whole.body);
+        if earlier_reads.contains(&response.body) {
+            return Some(response.body);
         }
-        seen.push(whole.body);
+        earlier_reads.push(response.body);
     }
     None
 }
 
-/// Manifest of a peer; none where it has none yet.
-async fn peer_manifest(peer: &mut Client, named: &Named) -> Option<Bytes> {
-    let question = Question {
-        named: named.clone(),
+/// Manifest from a peer; none if the peer has none yet.
+async fn read_from_peer(peer: &mut Client, model_version: &Named) -> Option<Bytes> {
+    let peer_request = PeerRequest {
+        model_version: model_version.clone(),
         chunk: None,
         mode: Mode::Wait,
     };
-    let whole = peer
-        .call(&Call::get(question.target()), MANIFEST_MILLIS)
+    let response = peer
+        .call(&Call::get(peer_request.target()), MANIFEST_TIMEOUT_MILLIS)
         .await
         .ok()?;
-    (whole.head.status == 200).then_some(whole.body)
+    (response.head.status == 200).then_some(response.body)
 }
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -1,22 +1,24 @@
-//! Weights on their way: what a process holds, gives and fetches.
+//! Weights distribution: the chunk cache of a process and its transfers to and from other
+//! processes.
 //!
-//! Gateways have wide links, and backend servers narrow ones that carry the answers of engines,
-//! too. So some gateways of each zone take what was named, each chunk entering at one of them and
-//! going from there to the others, and give it to the loaders of their zone, which share their
-//! questions out among them. Loaders without a gateway spread chunks among themselves.
+//! Backend servers have narrow links that also carry engine responses, and gateways have wide
+//! links. Gateways of each availability zone therefore fetch released versions: each chunk enters
+//! the zone at one gateway, spreads to the other gateways, and is served to the loaders of the
+//! zone. Without a gateway, loaders spread chunks among themselves.
 
-pub mod asking;
+pub mod cache;
 pub mod fetch;
-pub mod holding;
 pub mod manifest;
 pub mod peers;
 pub mod relay;
+pub mod request;
 pub mod search;
 pub mod sources;
 
 use {
     actix_rt::task::JoinHandle,
     bytes::Bytes,
+    cache::{ChunkCache, ChunkSet},
     gingerpier_base::order,
     gingerpier_serving::{
         bringing::Terms,
@@ -26,7 +28,6 @@
     },
     gingerpier_settings::gateway::ZoneRegion,
     gingerpier_weights::{Relays, plan::Replica},
-    holding::{Holding, Holdings},
     std::{
         cell::{Cell, RefCell},
         net::SocketAddr,
@@ -35,41 +36,41 @@
     tokio::sync::{Notify, Semaphore},
 };
 
-/// Answers to other processes that are written at once over a narrow link.
-const UPLOAD_TURNS: usize = 3;
+/// Concurrent uploads over a narrow link.
+const MAX_UPLOADS_NARROW: usize = 3;
 
-/// The same over a wide link: readers are slow there, not the link.
-const WIDE_UPLOAD_TURNS: usize = 64;
+/// Concurrent uploads over a wide link, where readers are the bottleneck.
+const MAX_UPLOADS_WIDE: usize = 64;
 
-/// What a process holds of weights, and how it gives and takes them.
+/// Chunk cache of a process and the state of its weights transfers.
 pub struct Carrier {
-    /// Words of the platform.
+    /// Platform adapter.
     pub dialect: &'static dyn Dialect,
-    /// Chunks held.
-    pub holdings: RefCell<Holdings>,
-    /// Message that tells loaders of services and engines, where this is a gateway that knows them.
+    /// Chunks held in memory.
+    pub chunk_cache: RefCell<ChunkCache>,
+    /// Encoded engine and service configuration for loaders; set on gateways once known.
     pub figures: RefCell<Option<Bytes>>,
-    /// Engine of this machine, where there is one.
+    /// Engine on this machine; none on gateways.
     pub engine: Option<SocketAddr>,
-    /// What that engine serves.
+    /// Version that the local engine serves.
     pub served: RefCell<Option<Named>>,
-    /// Versions that this process fetches or wants to.
-    pub wanted: RefCell<Vec<Named>>,
-    /// What others asked for that is not here.
-    pub asked: RefCell<Option<Named>>,
-    /// Link's share for chunks, where the link is narrow.
+    /// Versions that this process fetches or is about to fetch.
+    pub fetching: RefCell<Vec<Named>>,
+    /// Version that a peer last requested and that isn't cached here.
+    pub requested: RefCell<Option<Named>>,
+    /// Send rate limit for chunks; set where the link is narrow.
     pub pace: Option<RefCell<Pace>>,
-    /// Tells those who wait that a chunk or a manifest has come.
+    /// Notified when a chunk or a manifest is cached.
     pub arrived: Notify,
-    /// Turns of answers to others.
-    pub upload_turns: Semaphore,
-    /// Questions at once that this machine's link took last.
-    pub width: Cell<Option<usize>>,
+    /// Limits concurrent uploads.
+    pub upload_permits: Semaphore,
+    /// Request window that the link sustained in the last fetch.
+    pub last_window: Cell<Option<usize>>,
 }
 
 impl Carrier {
-    /// Carrier beside an engine, behind a link of so many bits a second.
-    pub fn beside(
+    /// Distribution state of a loader next to `engine`, behind a narrow link.
+    pub fn for_engine(
         dialect: &'static dyn Dialect,
         engine: SocketAddr,
         link_bits_per_second: u64,
@@ -78,156 +79,159 @@
         Self {
             engine: Some(engine),
             pace: Some(RefCell::new(pace)),
-            upload_turns: Semaphore::new(UPLOAD_TURNS),
+            upload_permits: Semaphore::new(MAX_UPLOADS_NARROW),
             ..Self::new(dialect)
         }
     }
 
-    /// Carrier behind a wide link.
+    /// Distribution state of a process behind a wide link.
     pub fn new(dialect: &'static dyn Dialect) -> Self {
         Self {
             dialect,
-            holdings: RefCell::default(),
+            chunk_cache: RefCell::default(),
             figures: RefCell::default(),
             engine: None,
             served: RefCell::default(),
-            wanted: RefCell::default(),
-            asked: RefCell::default(),
+            fetching: RefCell::default(),
+            requested: RefCell::default(),
             pace: None,
             arrived: Notify::new(),
-            upload_turns: Semaphore::new(WIDE_UPLOAD_TURNS),
-            width: Cell::new(None),
+            upload_permits: Semaphore::new(MAX_UPLOADS_WIDE),
+            last_window: Cell::new(None),
         }
     }
 
-    /// Manifest of a version that is held.
-    pub fn manifest(&self, named: &Named) -> Option<Rc<Manifest>> {
-        let holdings = self.holdings.borrow();
-        let holding = holdings.get(&named.model, named.version)?;
-        Some(holding.manifest.clone())
+    /// Manifest of a cached version.
+    pub fn manifest(&self, model_version: &Named) -> Option<Rc<Manifest>> {
+        let chunk_cache = self.chunk_cache.borrow();
+        let chunk_set = chunk_cache.get(&model_version.model, model_version.version)?;
+        Some(chunk_set.manifest.clone())
     }
 
-    /// Chunks of a version that are held.
-    pub fn held_count(&self, named: &Named) -> usize {
-        let holdings = self.holdings.borrow();
-        let holding = holdings.get(&named.model, named.version);
-        holding.map_or(0, Holding::held_count)
+    /// Number of cached chunks of a version.
+    pub fn cached_count(&self, model_version: &Named) -> usize {
+        let chunk_cache = self.chunk_cache.borrow();
+        let chunk_set = chunk_cache.get(&model_version.model, model_version.version);
+        chunk_set.map_or(0, ChunkSet::cached_count)
     }
 
-    /// Share of the chunks of a version that are held, from 0 to 1.
-    pub fn held_share(&self, named: &Named) -> f64 {
-        let holdings = self.holdings.borrow();
-        let holding = holdings.get(&named.model, named.version);
-        holding.map_or(0.0, Holding::held_share)
+    /// Fraction of the chunks of a version that are cached, from 0 to 1.
+    pub fn cached_fraction(&self, model_version: &Named) -> f64 {
+        let chunk_cache = self.chunk_cache.borrow();
+        let chunk_set = chunk_cache.get(&model_version.model, model_version.version);
+        chunk_set.map_or(0.0, ChunkSet::cached_fraction)
     }
 
-    /// Gives up `task`, which brings a version here, for a newer one.
-    pub fn give_up<T>(&self, named: &Named, task: &JoinHandle<T>) {
-        tracing::info!(version = named.version.0, "weights given up for newer ones");
+    /// Cancels the fetch `task` of a version that a newer one supersedes.
+    pub fn cancel_fetch<T>(&self, model_version: &Named, task: &JoinHandle<T>) {
+        tracing::info!(
+            version = model_version.version.0,
+            "weights fetch canceled; a newer version supersedes it"
+        );
         task.abort();
-        let mut wanted = self.wanted.borrow_mut();
-        wanted.retain(|other| other != named);
+        let mut fetching = self.fetching.borrow_mut();
+        fetching.retain(|other| other != model_version);
     }
 
-    /// True where every chunk of a version is held.
-    pub fn is_complete(&self, named: &Named) -> bool {
-        let holdings = self.holdings.borrow();
-        let holding = holdings.get(&named.model, named.version);
-        holding.is_some_and(Holding::is_complete)
+    /// True if every chunk of a version is cached.
+    pub fn is_complete(&self, model_version: &Named) -> bool {
+        let chunk_cache = self.chunk_cache.borrow();
+        let chunk_set = chunk_cache.get(&model_version.model, model_version.version);
+        chunk_set.is_some_and(ChunkSet::is_complete)
     }
 
-    /// What is here or on its way of a model's weights.
-    pub fn carried(&self, model: &str) -> Carried {
-        let holdings = self.holdings.borrow();
-        let of_model = holdings.of_model(model);
-        let is_wanted =
-            |wanted: &Named| wanted.model == model && wanted.version > Version::default();
-        Carried {
-            is_known: self.wanted.borrow().iter().any(is_wanted),
-            chunks: of_model.map(Holding::held_count).sum(),
+    /// What is cached or being fetched of a model.
+    pub fn availability(&self, model: &str) -> Availability {
+        let chunk_cache = self.chunk_cache.borrow();
+        let of_model = chunk_cache.of_model(model);
+        let is_of_model =
+            |other: &Named| other.model == model && other.version > Version::default();
+        Availability {
+            is_fetching: self.fetching.borrow().iter().any(is_of_model),
+            chunks: of_model.map(ChunkSet::cached_count).sum(),
         }
     }
 
-    /// Takes a chunk whose digest was found right, and wakes those who wait for it.
-    pub fn put(&self, named: &Named, chunk: u32, bytes: Bytes) {
-        let mut holdings = self.holdings.borrow_mut();
-        if let Some(holding) = holdings.get_mut(&named.model, named.version) {
-            holding.put(chunk, bytes);
+    /// Caches a chunk with a verified digest and wakes waiting requests.
+    pub fn insert_chunk(&self, model_version: &Named, chunk: u32, bytes: Bytes) {
+        let mut chunk_cache = self.chunk_cache.borrow_mut();
+        if let Some(chunk_set) = chunk_cache.get_mut(&model_version.model, model_version.version) {
+            chunk_set.insert(chunk, bytes);
             self.arrived.notify_waiters();
         }
     }
 
-    /// True where the engine of this machine serves exactly `named`.
-    pub fn serves(&self, named: &Named) -> bool {
-        self.served.borrow().as_ref() == Some(named)
+    /// True if the local engine serves exactly `model_version`.
+    pub fn serves(&self, model_version: &Named) -> bool {
+        self.served.borrow().as_ref() == Some(model_version)
     }
 }
 
-/// What is here or on its way of a model's weights.
+/// What is cached or being fetched of a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Carried {
-    /// True where some version is on its way here.
-    pub is_known: bool,
-    /// Chunks of all versions that are here.
+pub struct Availability {
+    /// True if some version is being fetched.
+    pub is_fetching: bool,
+    /// Number of cached chunks over all versions.
     pub chunks: usize,
 }
 
-/// Milliseconds kept free before the operators' bound.
-const MARGIN_MILLIS: u64 = 1_400;
+/// Time reserved before the deadline of a weight update.
+const UPDATE_MARGIN_MILLIS: u64 = 1_400;
 
-/// Times of a change of weights that has to be over `within_millis` after its naming.
+/// Limits of a weight update that has to end `within_millis` after the release.
 pub const fn terms(within_millis: u64) -> Terms {
     Terms {
         within_millis,
-        margin_millis: MARGIN_MILLIS,
+        margin_millis: UPDATE_MARGIN_MILLIS,
     }
 }
 
-/// A gateway and its zone.
+/// A gateway and its availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GatewayPlace {
     /// Address for peers.
     pub address: SocketAddr,
-    /// Zone.
+    /// Availability zone.
     pub zone: String,
 }
 
-/// Gateways that carry a version.
-pub struct Carriers {
-    /// Their addresses; their places are the keys in `relays`.
+/// Gateways that relay a version.
+pub struct RelaySet {
+    /// Addresses; their indices are the replica keys in `relays`.
     pub addresses: Vec<SocketAddr>,
-    /// Who of them takes which chunk in.
+    /// Assignment of chunks to the gateways that fetch them first.
     pub relays: Relays,
 }
 
-/// How `gateways` carry `version`: all of them do, as loaders of a zone take in more than few links
-/// carry. Whoever knows the same gateways gets the same answer.
-pub fn carriers(
+/// Relays of `version`: all `gateways`, because the loaders of a zone exceed the bandwidth of a few
+/// links. Depends only on the set of gateways, so that all processes agree.
+pub fn relay_set(
     gateways: impl Iterator<Item = GatewayPlace>,
     regions: &[ZoneRegion],
     version: Version,
-) -> Carriers {
+) -> RelaySet {
     let mut gateways: Vec<GatewayPlace> = gateways.collect();
     gateways.sort_unstable();
-    let replica = |place: &GatewayPlace| Replica {
-        identity: order::hash(&place.address),
-        region: region(regions, &place.zone),
-        zone: zone_number(&place.zone),
+    let replica = |gateway: &GatewayPlace| Replica {
+        identity: order::hash(&gateway.address),
+        region: region_hash(regions, &gateway.zone),
+        zone: zone_hash(&gateway.zone),
     };
     let replicas = gateways.iter().map(replica).collect();
-    Carriers {
-        addresses: gateways.iter().map(|place| place.address).collect(),
+    RelaySet {
+        addresses: gateways.iter().map(|gateway| gateway.address).collect(),
         relays: Relays::new(order::mix(version.0), replicas),
     }
 }
 
-/// Stable number of a zone.
-pub fn zone_number(zone: &str) -> u64 {
+/// Stable hash of a zone name.
+pub fn zone_hash(zone: &str) -> u64 {
     order::hash(zone)
 }
 
-/// Stable number of the region of `zone`.
-pub fn region(regions: &[ZoneRegion], zone: &str) -> u64 {
-    let region = regions.iter().find(|one| one.zone == zone);
-    order::hash(region.map_or(zone, |one| one.region.as_str()))
+/// Stable hash of the region of `zone`.
+pub fn region_hash(regions: &[ZoneRegion], zone: &str) -> u64 {
+    let region = regions.iter().find(|entry| entry.zone == zone);
+    order::hash(region.map_or(zone, |entry| entry.region.as_str()))
 }
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -1,4 +1,4 @@
-//! Chunks for other processes.
+//! Serves manifests and chunks to other processes.
 
 use {
     super::Carrier,
@@ -10,45 +10,45 @@
     tokio::net::TcpListener,
 };
 
-/// Milliseconds for which a question is held while what it asks for is not here.
-const HOLD_MILLIS: u64 = 250;
+/// Longest time that a request waits for data to arrive.
+const MAX_WAIT_MILLIS: u64 = 250;
 
-/// Milliseconds after a failed accept.
-const ACCEPT_PAUSE_MILLIS: u64 = 5;
+/// Pause after a failed accept.
+const ACCEPT_RETRY_MILLIS: u64 = 5;
 
-/// Milliseconds that the engine may take for a chunk that lies there.
-const ENGINE_MILLIS: u64 = 300;
+/// Timeout for reading a chunk from the local engine.
+const ENGINE_TIMEOUT_MILLIS: u64 = 300;
 
-/// Milliseconds that one answer may take on its way.
-const WRITE_MILLIS: u64 = 700;
+/// Timeout for writing one response.
+const WRITE_TIMEOUT_MILLIS: u64 = 700;
 
-/// Milliseconds that a connection may rest.
-const REST_MILLIS: u64 = 5_000;
+/// Longest time that a connection may stay idle.
+const IDLE_TIMEOUT_MILLIS: u64 = 5_000;
 
-/// What a loader asks another for.
+/// A request for a manifest or a chunk to another process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
-    /// Weights.
-    pub named: Named,
-    /// Chunk; the manifest where there is none.
+pub struct PeerRequest {
+    /// Weights version.
+    pub model_version: Named,
+    /// Chunk index; none for the manifest.
     pub chunk: Option<u32>,
-    /// How it is asked.
+    /// How the request is answered.
     pub mode: Mode,
 }
 
-/// How a loader asks another.
+/// How a request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// For what will be here; the question is held for a while.
+    /// Sends the data, waiting a while for it to arrive.
     Wait,
-    /// For what is here now.
+    /// Sends the data only if it is present now.
     Now,
-    /// Whether it is here; the question is held for a while, and nothing is sent.
+    /// Reports whether the data is present, waiting a while for it to arrive; sends no data.
     Presence,
 }
 
 impl Mode {
-    const fn word(self) -> &'static str {
+    const fn name(self) -> &'static str {
         match self {
             Self::Wait => "wait",
             Self::Now => "now",
@@ -56,25 +56,25 @@
         }
     }
 
-    fn parse(word: &str) -> Option<Self> {
+    fn parse(name: &str) -> Option<Self> {
         [Self::Wait, Self::Now, Self::Presence]
             .into_iter()
-            .find(|mode| mode.word() == word)
+            .find(|mode| mode.name() == name)
     }
 }
 
-impl Question {
-    /// Path and query of the question.
+impl PeerRequest {
+    /// URL path of the request.
     pub fn target(&self) -> String {
-        let Named { model, version } = &self.named;
+        let Named { model, version } = &self.model_version;
         let chunk = self
             .chunk
             .map_or_else(|| "m".to_owned(), |chunk| chunk.to_string());
-        let mode = self.mode.word();
+        let mode = self.mode.name();
         format!("/weights/{model}/{}/{chunk}/{mode}", version.0)
     }
 
-    /// Question of a path.
+    /// Parses a URL path.
     pub fn parse(target: &str) -> Option<Self> {
         let mut parts = target.strip_prefix("/weights/")?.split('/');
         let model = parts.next()?.to_owned();
@@ -85,122 +85,130 @@
         };
         let mode = Mode::parse(parts.next()?)?;
         Some(Self {
-            named: Named { model, version },
+            model_version: Named { model, version },
             chunk,
             mode,
         })
     }
 }
 
-/// Serves chunks.
+/// Accepts connections and serves requests.
 pub async fn serve(carrier: Rc<Carrier>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let carrier = carrier.clone();
-                actix_rt::spawn(async move { answer(&carrier, Connection::new(stream)).await });
+                actix_rt::spawn(async move {
+                    serve_connection(&carrier, Connection::new(stream)).await
+                });
             }
-            Err(_) => clock::pause(ACCEPT_PAUSE_MILLIS).await,
+            Err(_) => clock::pause(ACCEPT_RETRY_MILLIS).await,
         }
     }
 }
 
-async fn answer(carrier: &Carrier, mut connection: Connection) {
+async fn serve_connection(carrier: &Carrier, mut connection: Connection) {
     if carrier.pace.is_some() {
         connection.use_small_buffers();
     }
     loop {
-        let rest = clock::now().after_millis(REST_MILLIS);
-        let head = clock::before(rest, relay::read_head(&mut connection)).await;
+        let idle_deadline = clock::now().after_millis(IDLE_TIMEOUT_MILLIS);
+        let head = clock::before(idle_deadline, relay::read_head(&mut connection)).await;
         let Some(Some(request)) = head else { return };
-        let reply = reply(carrier, &request).await;
-        // The engine's answers leave over the same link: chunks go one after the other, and
-        // leave some of it free.
-        let _turn = carrier.upload_turns.acquire().await;
+        let response = build_response(carrier, &request).await;
+        // Sends chunks one after the other and paced, as the link also carries engine responses.
+        let _permit = carrier.upload_permits.acquire().await;
         if let Some(pace) = &carrier.pace {
-            let turn = pace.borrow_mut().reserve(reply.len(), clock::now());
-            clock::until(turn).await;
+            let send_at = pace.borrow_mut().reserve(response.len(), clock::now());
+            clock::until(send_at).await;
         }
-        let deadline = clock::now().after_millis(WRITE_MILLIS);
-        let written = clock::before(deadline, connection.write(&reply)).await;
+        let deadline = clock::now().after_millis(WRITE_TIMEOUT_MILLIS);
+        let written = clock::before(deadline, connection.write(&response)).await;
         if !matches!(written, Some(Ok(()))) {
             return;
         }
     }
 }
 
-async fn reply(carrier: &Carrier, request: &Request) -> Vec<u8> {
+async fn build_response(carrier: &Carrier, request: &Request) -> Vec<u8> {
     let target = std::str::from_utf8(request.target()).unwrap_or_default();
     if target == figures::PATH {
         return figures::reply(carrier);
     }
-    let Some(question) = Question::parse(target) else {
+    let Some(peer_request) = PeerRequest::parse(target) else {
         return Message::response(404).body(b"");
     };
-    let deadline = clock::now().after_millis(HOLD_MILLIS);
+    let deadline = clock::now().after_millis(MAX_WAIT_MILLIS);
     loop {
-        if question.mode == Mode::Presence && is_here(carrier, &question) {
+        if peer_request.mode == Mode::Presence && is_present(carrier, &peer_request) {
             return Message::response(204).end();
         }
-        if let Some(bytes) = find(carrier, &question) {
+        if let Some(bytes) = find_cached(carrier, &peer_request) {
             return Message::response(200).body(&bytes);
         }
-        if let Some(bytes) = laid(carrier, &question).await {
+        if let Some(bytes) = read_from_engine(carrier, &peer_request).await {
             return Message::response(200).body(&bytes);
         }
-        if question.mode == Mode::Now || !will_have(carrier, &question.named) {
+        if peer_request.mode == Mode::Now || !will_fetch(carrier, &peer_request.model_version) {
             return Message::response(404).body(b"");
         }
         if deadline.has_passed(clock::now()) {
             return Message::response(202).body(b"");
         }
-        // Nothing more than the end of the wait is lost where no chunk comes.
+        // A timeout only ends the wait early enough for the deadline check above.
         let _ = clock::before(deadline, carrier.arrived.notified()).await;
     }
 }
 
-fn find(carrier: &Carrier, question: &Question) -> Option<Bytes> {
-    let holdings = carrier.holdings.borrow();
-    let holding = holdings.get(&question.named.model, question.named.version)?;
-    match question.chunk {
-        None => Some(holding.manifest_bytes.clone()),
-        Some(chunk) => holding.chunk(chunk).cloned(),
+fn find_cached(carrier: &Carrier, peer_request: &PeerRequest) -> Option<Bytes> {
+    let chunk_cache = carrier.chunk_cache.borrow();
+    let chunk_set = chunk_cache.get(
+        &peer_request.model_version.model,
+        peer_request.model_version.version,
+    )?;
+    match peer_request.chunk {
+        None => Some(chunk_set.manifest_bytes.clone()),
+        Some(chunk) => chunk_set.chunk(chunk).cloned(),
     }
 }
 
-fn is_here(carrier: &Carrier, question: &Question) -> bool {
-    find(carrier, question).is_some() || carrier.serves(&question.named)
+fn is_present(carrier: &Carrier, peer_request: &PeerRequest) -> bool {
+    find_cached(carrier, peer_request).is_some() || carrier.serves(&peer_request.model_version)
 }
 
-/// A chunk that lies at the engine which serves this version. It goes out unchecked: whoever asked
-/// checks it against the manifest.
-async fn laid(carrier: &Carrier, question: &Question) -> Option<Bytes> {
-    let chunk = question.chunk?;
+/// Reads a chunk from the local engine if it serves this version. The requester verifies the
+/// digest.
+async fn read_from_engine(carrier: &Carrier, peer_request: &PeerRequest) -> Option<Bytes> {
+    let chunk = peer_request.chunk?;
     let engine = carrier.engine?;
-    if !carrier.serves(&question.named) {
+    if !carrier.serves(&peer_request.model_version) {
         return None;
     }
-    let call = carrier.dialect.laid_chunk(&question.named.model, chunk);
+    let call = carrier
+        .dialect
+        .laid_chunk(&peer_request.model_version.model, chunk);
     let mut client = Client::new(engine);
-    let whole = client.call(&call, ENGINE_MILLIS).await.ok()?;
-    (whole.head.status == 200).then_some(whole.body)
+    let response = client.call(&call, ENGINE_TIMEOUT_MILLIS).await.ok()?;
+    (response.head.status == 200).then_some(response.body)
 }
 
-/// True where what is not here yet will come. A gateway fetches what it is asked for.
-fn will_have(carrier: &Carrier, named: &Named) -> bool {
-    let wanted = carrier.wanted.borrow();
-    if wanted.contains(named) {
+/// True if data that isn't present yet will arrive. Gateways start to fetch what is requested.
+fn will_fetch(carrier: &Carrier, model_version: &Named) -> bool {
+    let fetching = carrier.fetching.borrow();
+    if fetching.contains(model_version) {
         return true;
     }
-    let is_newest = wanted.iter().all(|other| other.version <= named.version);
+    let is_newest = fetching
+        .iter()
+        .all(|other| other.version <= model_version.version);
     if carrier.engine.is_none() {
-        // Older weights would take the origin's link from newer ones.
+        // Fetching older weights would compete with newer ones for the origin's link.
         if is_newest {
-            *carrier.asked.borrow_mut() = Some(named.clone());
+            *carrier.requested.borrow_mut() = Some(model_version.clone());
         }
         return is_newest;
     }
     let served = carrier.served.borrow();
-    let is_newer = |served: &Named| served.version < named.version;
+    let is_newer = |served: &Named| served.version < model_version.version;
     is_newest && served.as_ref().is_none_or(is_newer)
 }
