--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -1,7 +1,7 @@
-//! A gateway that carries weights for its zone.
+//! Relays weights through a gateway to the loaders of its availability zone.
 
 use {
-    super::{Carriers, GatewayPlace, fetch, sources::Task},
+    super::{GatewayPlace, RelaySet, fetch, sources::FetchSpec},
     crate::{clock, state::State, weights},
     gingerpier_base::order,
     gingerpier_serving::{dialect::Named, engine::Engine, report::Version},
@@ -12,229 +12,254 @@
     std::{collections::BTreeSet, net::SocketAddr, rc::Rc},
 };
 
-/// Milliseconds from the start within which a gateway carries nothing: what it knows of other
-/// gateways by then would make it ask the origin for what is already on its way.
-const SETTLE_MILLIS: u64 = 400;
+/// Delay after startup. Before other gateways are known, this one would fetch chunks from the
+/// origin that others already fetch.
+const STARTUP_DELAY_MILLIS: u64 = 400;
 
-/// Milliseconds between looks at what is to be carried.
-const LOOK_MILLIS: u64 = 25;
+/// Interval between checks for versions to fetch.
+const POLL_INTERVAL_MILLIS: u64 = 25;
 
-/// Chunks of other gateways on their way at once.
-const LINK_TURNS: usize = 8;
+/// Concurrent chunk transfers from other gateways.
+const MAX_PEER_TRANSFERS: usize = 8;
 
-/// Milliseconds that another gateway may take for one chunk.
-const PATIENCE_MILLIS: u64 = 5_000;
+/// Time limit for one chunk from another gateway.
+const CHUNK_TIMEOUT_MILLIS: u64 = 5_000;
 
-/// Chunks asked for at once.
+/// Concurrent chunk requests.
 const WINDOW: usize = 16;
 
-/// Questions to the origin at once.
-const ORIGIN_TURNS: usize = 1;
+/// Concurrent requests to the origin.
+const MAX_ORIGIN_REQUESTS: usize = 1;
 
-/// Milliseconds without a chunk of an older version after which the next one no longer waits
-/// for it.
-const STALLED_MILLIS: u64 = 700;
+/// Time without a new chunk of an older version after which a newer one stops waiting for it.
+const OLDER_STALL_MILLIS: u64 = 700;
 
-/// Share of a version's chunks from which on it comes to its end before a newer one: what is left
-/// takes less time than the newer one would lose by starting over.
-const WORTH_FINISHING: f64 = 0.5;
+/// Fraction of cached chunks from which an older version is completed before a newer one starts.
+const MIN_FRACTION_TO_FINISH: f64 = 0.5;
 
-/// Milliseconds after weights were first heard of from which on others may hold chunks of them: before, whoever
-/// is the first to take a chunk would only ask in vain.
-const HELD_AFTER_MILLIS: u64 = 1_000;
+/// Delay after a version is first known before loaders are requested for its chunks, as none can
+/// have them earlier.
+const HOLDER_DELAY_MILLIS: u64 = 1_000;
 
-/// Most loaders of which some are asked for chunks before the origin: each is asked for one chunk in 16 then.
-const MOST_HOLDERS: usize = 32;
+/// Limit on loaders in a route; a fetch requests only some of them for each chunk.
+const MAX_HOLDERS: usize = 32;
 
-/// A version on its way here.
-struct Work {
-    named: Named,
+/// A running fetch of a version.
+struct FetchTask {
+    model_version: Named,
     task: actix_rt::task::JoinHandle<Named>,
 }
 
-/// Carries what is named and not yet held by all engines, and what loaders ask for.
+/// Fetches released versions that some engine lacks, and versions that loaders request.
 pub async fn keep(state: Rc<State>) {
-    let mut works: Vec<Work> = Vec::new();
-    clock::pause(SETTLE_MILLIS).await;
+    let mut fetches: Vec<FetchTask> = Vec::new();
+    clock::pause(STARTUP_DELAY_MILLIS).await;
     loop {
-        clock::pause(LOOK_MILLIS).await;
-        let asked = state.carrier.asked.borrow_mut().take();
-        let named = state
+        clock::pause(POLL_INTERVAL_MILLIS).await;
+        let requested = state.carrier.requested.borrow_mut().take();
+        let released = state
             .named()
             .into_iter()
-            .filter(|named| is_needed(&state, named));
-        let wanted: Vec<Named> = asked.into_iter().chain(named).collect();
-        for named in wanted {
-            let is_known = works.iter().any(|work| work.named == named);
-            let has_number = named.version > Version::default();
-            if has_number && !is_known && may_be_had(&state, &named) {
-                carry(&state, &mut works, named);
+            .filter(|model_version| is_needed(&state, model_version));
+        let wanted: Vec<Named> = requested.into_iter().chain(released).collect();
+        for model_version in wanted {
+            let is_started = fetches
+                .iter()
+                .any(|fetch_task| fetch_task.model_version == model_version);
+            let has_version = model_version.version > Version::default();
+            if has_version && !is_started && is_obtainable(&state, &model_version) {
+                start_fetch(&state, &mut fetches, model_version);
             }
         }
-        drop_outdated(&state, &works);
-        drop_not_to_be_had(&state, &mut works);
+        cancel_outdated(&state, &fetches);
+        cancel_unobtainable(&state, &mut fetches);
     }
 }
 
-fn carry(state: &Rc<State>, works: &mut Vec<Work>, named: Named) {
+fn start_fetch(state: &Rc<State>, fetches: &mut Vec<FetchTask>, model_version: Named) {
     tracing::info!(
-        model = named.model,
-        version = named.version.0,
+        model = model_version.model,
+        version = model_version.version.0,
         "weights carried"
     );
-    let under_way = works
-        .iter()
-        .filter(|work| work.named.version < named.version && !work.task.is_finished());
+    let running = fetches.iter().filter(|fetch_task| {
+        fetch_task.model_version.version < model_version.version && !fetch_task.task.is_finished()
+    });
     let mut older: Option<Named> = None;
-    for work in under_way {
-        if state.carrier.held_share(&work.named) < WORTH_FINISHING {
-            state.carrier.give_up(&work.named, &work.task);
+    for fetch_task in running {
+        if state.carrier.cached_fraction(&fetch_task.model_version) < MIN_FRACTION_TO_FINISH {
+            state
+                .carrier
+                .cancel_fetch(&fetch_task.model_version, &fetch_task.task);
         } else {
-            older = Some(work.named.clone());
+            older = Some(fetch_task.model_version.clone());
         }
     }
-    state.carrier.wanted.borrow_mut().push(named.clone());
-    let own = state.clone();
-    let wanted = named.clone();
+    state
+        .carrier
+        .fetching
+        .borrow_mut()
+        .push(model_version.clone());
+    let task_state = state.clone();
+    let target = model_version.clone();
     let task = actix_rt::spawn(async move {
         if let Some(older) = older {
-            wait_for(&own, &older).await;
+            wait_for_older(&task_state, &older).await;
         }
-        fetch::fetch(&own.carrier, || task(&own, &wanted)).await
+        fetch::fetch(&task_state.carrier, || fetch_spec(&task_state, &target)).await
+    });
+    fetches.push(FetchTask {
+        model_version,
+        task,
     });
-    works.push(Work { named, task });
 }
 
-/// Waits while chunks of `older` come: two versions at once would only share the origin's link,
-/// and neither would be whole before it may go down.
-async fn wait_for(state: &State, older: &Named) {
-    let mut held = state.carrier.held_count(older);
+/// Waits while chunks of `older` keep arriving, so that two versions don't share the origin's link.
+async fn wait_for_older(state: &State, older: &Named) {
+    let mut last_count = state.carrier.cached_count(older);
     loop {
-        let deadline = clock::now().after_millis(STALLED_MILLIS);
-        while state.carrier.held_count(older) == held {
+        let deadline = clock::now().after_millis(OLDER_STALL_MILLIS);
+        while state.carrier.cached_count(older) == last_count {
             if state.carrier.is_complete(older) || deadline.has_passed(clock::now()) {
                 return;
             }
-            clock::pause(LOOK_MILLIS).await;
+            clock::pause(POLL_INTERVAL_MILLIS).await;
         }
-        held = state.carrier.held_count(older);
+        last_count = state.carrier.cached_count(older);
     }
 }
 
-/// Gives up what is still on its way of versions older than one that is whole here.
-fn drop_outdated(state: &State, works: &[Work]) {
-    let whole = works.iter().filter(|work| work.task.is_finished());
-    let Some(newest) = whole.map(|work| work.named.version).max() else {
+/// Cancels fetches of versions older than a complete one.
+fn cancel_outdated(state: &State, fetches: &[FetchTask]) {
+    let finished = fetches
+        .iter()
+        .filter(|fetch_task| fetch_task.task.is_finished());
+    let Some(newest) = finished
+        .map(|fetch_task| fetch_task.model_version.version)
+        .max()
+    else {
         return;
     };
-    let under_way = works.iter().filter(|work| !work.task.is_finished());
-    for work in under_way.filter(|work| work.named.version < newest) {
-        state.carrier.give_up(&work.named, &work.task);
+    let running = fetches
+        .iter()
+        .filter(|fetch_task| !fetch_task.task.is_finished());
+    for fetch_task in running.filter(|fetch_task| fetch_task.model_version.version < newest) {
+        state
+            .carrier
+            .cancel_fetch(&fetch_task.model_version, &fetch_task.task);
     }
 }
 
-fn may_be_had(state: &State, named: &Named) -> bool {
-    state.known_origin(&named.model).may_be_had(named.version)
+fn is_obtainable(state: &State, model_version: &Named) -> bool {
+    state
+        .known_origin(&model_version.model)
+        .may_be_had(model_version.version)
 }
 
-/// Gives up versions of which nothing came and which the origin does not have: while one is on its way, older ones
-/// that are to be had would be refused to loaders for good.
-fn drop_not_to_be_had(state: &State, works: &mut Vec<Work>) {
-    works.retain(|work| {
-        let is_empty = state.carrier.held_count(&work.named) == 0;
-        let is_over = is_empty && !may_be_had(state, &work.named);
-        if is_over {
-            state.carrier.give_up(&work.named, &work.task);
+/// Cancels fetches without a single chunk whose version the origin doesn't have. Such a fetch makes
+/// requests for older versions fail.
+fn cancel_unobtainable(state: &State, fetches: &mut Vec<FetchTask>) {
+    fetches.retain(|fetch_task| {
+        let is_empty = state.carrier.cached_count(&fetch_task.model_version) == 0;
+        let is_unobtainable = is_empty && !is_obtainable(state, &fetch_task.model_version);
+        if is_unobtainable {
+            state
+                .carrier
+                .cancel_fetch(&fetch_task.model_version, &fetch_task.task);
         }
-        !is_over
+        !is_unobtainable
     });
 }
 
-/// True where some engine lacks `named`: what all hold already needs nobody to carry it.
-fn is_needed(state: &State, named: &Named) -> bool {
+/// True if some engine lacks `model_version`.
+fn is_needed(state: &State, model_version: &Named) -> bool {
     let fleet = state.fleet.borrow();
     let now = clock::now();
-    let held = fleet
+    let versions = fleet
         .listed()
-        .filter_map(|(_, engine)| engine.version_of(&named.model, now));
-    held.min().is_some_and(|least| least < named.version)
+        .filter_map(|(_, engine)| engine.version_of(&model_version.model, now));
+    versions
+        .min()
+        .is_some_and(|least| least < model_version.version)
 }
 
-fn known_carriers(state: &State, version: Version) -> Carriers {
+fn known_relays(state: &State, version: Version) -> RelaySet {
     let own = GatewayPlace {
         address: state.settings.peers,
         zone: state.settings.zone.clone(),
     };
     let mut known = state.living_gateways();
     known.insert(own);
-    weights::carriers(known.into_iter(), &state.settings.regions, version)
+    weights::relay_set(known.into_iter(), &state.settings.regions, version)
 }
 
-/// Loaders that are asked for chunks of `named` before the origin: those whose engines serve it, or else, once it
-/// has been on its way for a while, all that may hold a part; of the own zone where there are any.
-fn holders(state: &State, named: &Named) -> Vec<SocketAddr> {
+/// Loaders to request chunks of `model_version` from before the origin: those whose engines serve
+/// it, else all that may hold some of its chunks. Prefers loaders in the own zone.
+fn holder_addresses(state: &State, model_version: &Named) -> Vec<SocketAddr> {
     let now = clock::now();
     let fleet = state.fleet.borrow();
     let listed: Vec<&Engine> = fleet
         .listed()
         .map(|(_, engine)| engine)
-        .filter(|engine| engine.version_of(&named.model, now).is_some())
+        .filter(|engine| engine.version_of(&model_version.model, now).is_some())
         .collect();
-    let serves = |engine: &&Engine| engine.version_of(&named.model, now) == Some(named.version);
+    let serves = |engine: &&Engine| {
+        engine.version_of(&model_version.model, now) == Some(model_version.version)
+    };
     let mut chosen: Vec<&Engine> = listed.iter().copied().filter(serves).collect();
     if chosen.is_empty() {
-        if !state.may_be_held(named, HELD_AFTER_MILLIS) {
+        if !state.may_be_held(model_version, HOLDER_DELAY_MILLIS) {
             return Vec::new();
         }
         chosen = listed;
     }
-    let is_near = |engine: &&Engine| engine.record.zone == state.settings.zone;
-    if chosen.iter().any(&is_near) {
-        chosen.retain(is_near);
+    let is_in_own_zone = |engine: &&Engine| engine.record.zone == state.settings.zone;
+    if chosen.iter().any(&is_in_own_zone) {
+        chosen.retain(is_in_own_zone);
     }
     let port = state.settings.peers.port();
-    let places = chosen.iter().map(|engine| engine.record.address.ip());
-    let places: BTreeSet<SocketAddr> = places.map(|ip| SocketAddr::new(ip, port)).collect();
-    let mut places: Vec<SocketAddr> = places.into_iter().collect();
-    order::sort_by_score(named.version.0, &mut places, order::hash);
-    places.truncate(MOST_HOLDERS);
-    places
+    let addresses = chosen.iter().map(|engine| engine.record.address.ip());
+    let addresses: BTreeSet<SocketAddr> = addresses.map(|ip| SocketAddr::new(ip, port)).collect();
+    let mut addresses: Vec<SocketAddr> = addresses.into_iter().collect();
+    order::sort_by_score(model_version.version.0, &mut addresses, order::hash);
+    addresses.truncate(MAX_HOLDERS);
+    addresses
 }
 
-fn task(state: &State, named: &Named) -> Task {
+fn fetch_spec(state: &State, model_version: &Named) -> FetchSpec {
     let own = state.settings.peers;
-    let carriers = known_carriers(state, named.version);
+    let relay_set = known_relays(state, model_version.version);
     let is_own = |address: &SocketAddr| *address == own;
-    let relay_count = carriers.addresses.len();
-    let mut peers = carriers.addresses;
+    let relay_count = relay_set.addresses.len();
+    let mut peers = relay_set.addresses;
     let own_key = peers.iter().position(is_own);
-    peers.extend(holders(state, named));
+    peers.extend(holder_addresses(state, model_version));
     let holder_keys = relay_count..peers.len();
     let route = match own_key {
         Some(key) => Route::Relay {
-            relays: carriers.relays,
+            relays: relay_set.relays,
             own: ReplicaKey(key as u32),
             holders: Holders(holder_keys.map(|key| ReplicaKey(key as u32)).collect()),
         },
-        // Loaders that know fewer gateways asked for it.
+        // A loader that knows fewer gateways requested the version here.
         None => Route::Leaf {
-            relays: carriers.relays,
-            zone: weights::zone_number(&state.settings.zone),
+            relays: relay_set.relays,
+            zone: weights::zone_hash(&state.settings.zone),
             rest: vec![Source::Origin],
         },
     };
     let origin = state
         .configuration()
         .and_then(|configuration| configuration.origin());
-    Task {
-        named: named.clone(),
+    FetchSpec {
+        model_version: model_version.clone(),
         route,
         peers,
         origin,
         window: WINDOW,
-        patience_millis: PATIENCE_MILLIS,
-        origin_turns: ORIGIN_TURNS,
-        link_turns: LINK_TURNS,
-        begins: None,
+        patience_millis: CHUNK_TIMEOUT_MILLIS,
+        origin_concurrency: MAX_ORIGIN_REQUESTS,
+        link_concurrency: MAX_PEER_TRANSFERS,
+        origin_start: None,
     }
 }
--- a/crates/gingerpier_gateway/src/weights/search.rs
+++ b/crates/gingerpier_gateway/src/weights/search.rs
@@ -1,4 +1,4 @@
-//! A gateway asks the origin what it has, where engines lack weights that nobody named.
+//! Reads the newest version from the origin when engines lack weights and no release exists.
 
 use {
     super::manifest,
@@ -16,14 +16,15 @@
     std::{collections::HashMap, rc::Rc},
 };
 
-/// Milliseconds between looks, each of which passes over all engines of the services without named weights.
-const LOOK_MILLIS: u64 = 200;
+/// Interval between checks, each of which scans the engines of services without a released
+/// version.
+const POLL_INTERVAL_MILLIS: u64 = 200;
 
-/// Asks where it is this gateway's turn.
+/// Requests the origin's newest manifest for each model for which a search is due.
 pub async fn keep(state: Rc<State>) {
     let mut searches: HashMap<String, Search> = HashMap::new();
     loop {
-        clock::pause(LOOK_MILLIS).await;
+        clock::pause(POLL_INTERVAL_MILLIS).await;
         let Some(configuration) = state.configuration() else {
             continue;
         };
@@ -35,7 +36,7 @@
                 searches.remove(model);
                 continue;
             }
-            let seen = look(&state, service, model);
+            let seen = observe(&state, service, model);
             let search = searches.entry(model.to_owned()).or_default();
             if !search.is_due(&seen, clock::now()) {
                 continue;
@@ -44,43 +45,43 @@
                 model: model.to_owned(),
                 version: Version::default(),
             };
-            tracing::info!(model, ?seen, origin = %origin.address, "origin is asked what it has");
+            tracing::info!(model, ?seen, origin = %origin.address, "requesting the newest manifest from the origin");
             let mut client = Client::new(origin.address);
-            match manifest::ask_origin(&state.carrier, &mut client, &newest).await {
+            match manifest::fetch_from_origin(&state.carrier, &mut client, &newest).await {
                 Some(found) => {
                     search.note_found(clock::now());
                     state.note_found(found);
                 }
                 None => {
                     search.note_failure(clock::now(), fastrand::u64(..));
-                    tracing::warn!(model, origin = %origin.address, "origin does not say what it has");
+                    tracing::warn!(model, origin = %origin.address, "origin returned no valid manifest");
                 }
             }
         }
     }
 }
 
-fn look(state: &State, service: &str, model: &str) -> Seen {
+fn observe(state: &State, service: &str, model: &str) -> Seen {
     let known = state.known_weights(service, model);
-    let carried = state.carrier.carried(model);
+    let availability = state.carrier.availability(model);
     Seen {
         is_lacking: state.lacks_weights(service, model),
-        is_known: known.wanted().is_some() || carried.is_known,
+        is_known: known.wanted().is_some() || availability.is_fetching,
         is_whole: known.wanted().is_some_and(|version| {
             let model = model.to_owned();
             state.carrier.is_complete(&Named { model, version })
         }),
-        chunks: carried.chunks,
+        chunks: availability.chunks,
         rank: rank(state, model),
     }
 }
 
-/// Gateways of this zone that ask before this one.
+/// Number of gateways in this zone that search for `model` before this one.
 fn rank(state: &State, model: &str) -> u32 {
     let subject = order::hash(model);
     let score = |address| order::score(subject, order::hash(&address));
     let own = score(state.settings.peers);
     let neighbours = state.zones.borrow().neighbours();
-    let ahead = neighbours.into_iter().filter(|other| score(*other) > own);
-    ahead.count() as u32
+    let higher_ranked = neighbours.into_iter().filter(|other| score(*other) > own);
+    higher_ranked.count() as u32
 }
--- a/crates/gingerpier_gateway/src/weights/sources.rs
+++ b/crates/gingerpier_gateway/src/weights/sources.rs
@@ -1,4 +1,4 @@
-//! From whom a version is taken, and how they are reached.
+//! Sources of a fetch and their concurrency limits.
 
 use {
     crate::clock,
@@ -9,54 +9,53 @@
     tokio::sync::Semaphore,
 };
 
-/// Part of the time of a chunk on the origin's link after which the next one is asked for.
-const ORIGIN_PACE: f64 = 0.94;
+/// Interval between origin requests, as a fraction of the transfer time of a chunk.
+const ORIGIN_SPACING: f64 = 0.94;
 
-/// A version to fetch, and from whom.
+/// A version to fetch and its sources.
 #[derive(Debug, Clone)]
-pub struct Task {
-    /// Version; 0 for what the origin has.
-    pub named: Named,
-    /// From whom.
+pub struct FetchSpec {
+    /// Version; 0 for the origin's newest.
+    pub model_version: Named,
+    /// Order of sources for each chunk.
     pub route: Route,
-    /// Addresses of the sources, by key.
+    /// Peer addresses, indexed by replica key.
     pub peers: Vec<SocketAddr>,
-    /// Origin.
+    /// Origin server.
     pub origin: Option<Origin>,
-    /// Chunks asked for at once. Each holds a connection, and a peer that is asked by many takes
-    /// only so many new ones.
+    /// Concurrent chunk requests. Each occupies a connection, and peers limit new connections.
     pub window: usize,
-    /// Milliseconds that one source may take for one chunk while it says that it waits itself.
+    /// Time limit for one chunk from a source that reports that it still waits itself.
     pub patience_millis: u64,
-    /// Questions to the origin at once.
-    pub origin_turns: usize,
-    /// Chunks of other processes on their way at once.
-    pub link_turns: usize,
-    /// When the origin's link is free for the first chunk, where all begin together.
-    pub begins: Option<Instant>,
+    /// Concurrent requests to the origin.
+    pub origin_concurrency: usize,
+    /// Concurrent transfers from peers.
+    pub link_concurrency: usize,
+    /// Time of the first origin request in a coordinated start.
+    pub origin_start: Option<Instant>,
 }
 
-/// Replicas and how they are reached.
+/// Source addresses and concurrency limits of a fetch.
 #[derive(Debug)]
 pub struct Sources {
     peers: Vec<SocketAddr>,
     origin: Option<Origin>,
-    begins: Option<Instant>,
-    /// Turns at the origin.
-    pub origin_turns: Semaphore,
-    /// Turns on this machine's link.
-    pub link_turns: Semaphore,
+    origin_start: Option<Instant>,
+    /// Limits concurrent requests to the origin.
+    pub origin_permits: Semaphore,
+    /// Limits concurrent transfers over this machine's link.
+    pub link_permits: Semaphore,
 }
 
 impl Sources {
-    /// Sources of a task.
-    pub fn new(task: &Task) -> Self {
+    /// Sources of `spec`.
+    pub fn new(spec: &FetchSpec) -> Self {
         Self {
-            peers: task.peers.clone(),
-            origin: task.origin,
-            begins: task.begins,
-            origin_turns: Semaphore::new(task.origin_turns),
-            link_turns: Semaphore::new(task.link_turns),
+            peers: spec.peers.clone(),
+            origin: spec.origin,
+            origin_start: spec.origin_start,
+            origin_permits: Semaphore::new(spec.origin_concurrency),
+            link_permits: Semaphore::new(spec.link_concurrency),
         }
     }
 
@@ -68,14 +67,14 @@
         }
     }
 
-    /// Milliseconds until `chunk` is to be asked for at the origin. Whoever is first to take a
-    /// chunk asks at the time when the link is free for it, so that early chunks come soon and
-    /// go round while later ones are still on their way in.
-    pub fn wait_for(&self, chunk: u32, bytes: u64) -> Option<u64> {
-        let (begins, origin) = self.begins.zip(self.origin)?;
-        let each = (bytes * 8_000) as f64 / origin.link_bits_per_second.max(1) as f64;
-        let at = begins.after_millis((f64::from(chunk) * each * ORIGIN_PACE) as u64);
-        let wait = at.millis_since(clock::now());
-        (origin.link_bits_per_second > 0 && wait > 0).then_some(wait)
+    /// Milliseconds until `chunk` may be requested from the origin. Requests are spaced by the
+    /// transfer time of a chunk, so that early chunks spread while later ones still enter.
+    pub fn origin_delay_millis(&self, chunk: u32, bytes: u64) -> Option<u64> {
+        let (origin_start, origin) = self.origin_start.zip(self.origin)?;
+        let chunk_millis = (bytes * 8_000) as f64 / origin.link_bits_per_second.max(1) as f64;
+        let send_at =
+            origin_start.after_millis((f64::from(chunk) * chunk_millis * ORIGIN_SPACING) as u64);
+        let delay = send_at.millis_since(clock::now());
+        (origin.link_bits_per_second > 0 && delay > 0).then_some(delay)
     }
 }
--- a/crates/gingerpier_gateway/tests/client.rs
+++ b/crates/gingerpier_gateway/tests/client.rs
@@ -1,4 +1,4 @@
-//! A client of the store: a long answer may take its time while bytes come, silence may not.
+//! A long response may take its time while data arrives, and a stalled one times out.
 
 use {
     gingerpier_gateway::{client::Client, error::Error},
@@ -19,28 +19,30 @@
 
 const BODY: &[u8] = b"0123456789";
 
-/// Milliseconds within which an answer has to begin.
+/// Time within which a response has to begin.
 const BEGIN_MILLIS: u64 = 300;
 
-/// Serves one connection by `serve`, after it has read a request.
-fn serve(serve: impl FnOnce(&mut TcpStream) + Send + 'static) -> SocketAddr {
+/// Accepts one connection, reads a request and calls `respond`.
+fn serve(respond: impl FnOnce(&mut TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("a bound address");
     spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a caller");
+        let (mut stream, _) = listener.accept().expect("a connection");
         let mut request = [0; 1024];
         let _ = stream.read(&mut request).expect("a request");
-        serve(&mut stream);
+        respond(&mut stream);
     });
     address
 }
 
-fn head(stream: &mut TcpStream) {
+fn write_head(stream: &mut TcpStream) {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", BODY.len());
-    stream.write_all(head.as_bytes()).expect("written");
+    stream
+        .write_all(head.as_bytes())
+        .expect("the response is written");
 }
 
-fn ask(address: SocketAddr) -> Result<Vec<u8>, Error> {
+fn fetch(address: SocketAddr) -> Result<Vec<u8>, Error> {
     actix_rt::System::new().block_on(async move {
         let call = Call::get("/everything".to_owned());
         let whole = Client::new(address).call(&call, BEGIN_MILLIS).await?;
@@ -49,90 +51,94 @@
 }
 
 #[test]
-fn a_long_answer_is_taken_whole_while_bytes_come() {
+fn a_long_response_is_read_whole_while_data_arrives() {
     let address = serve(|stream| {
-        head(stream);
+        write_head(stream);
         for byte in BODY {
             sleep(Duration::from_millis(150));
-            stream.write_all(&[*byte]).expect("written");
+            stream.write_all(&[*byte]).expect("the response is written");
         }
     });
-    // It takes five times as long as it may take to begin.
-    assert_eq!(ask(address).expect("an answer"), BODY);
+    // The body takes five times as long as the response may take to begin.
+    assert_eq!(fetch(address).expect("a response"), BODY);
 }
 
 #[test]
-fn an_answer_that_stands_still_is_given_up() {
+fn a_stalled_response_times_out() {
     let address = serve(|stream| {
-        head(stream);
-        stream.write_all(&BODY[..4]).expect("written");
+        write_head(stream);
+        stream
+            .write_all(&BODY[..4])
+            .expect("the response is written");
         sleep(Duration::from_secs(8));
     });
-    let begun = Instant::now();
-    let error = ask(address).expect_err("it is given up");
+    let started = Instant::now();
+    let error = fetch(address).expect_err("the request times out");
     assert!(matches!(error, Error::Late { .. }), "{error}");
-    assert!(begun.elapsed() < Duration::from_secs(5));
+    assert!(started.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
-fn an_answer_that_does_not_begin_is_given_up() {
+fn a_response_that_does_not_begin_times_out() {
     let address = serve(|_| sleep(Duration::from_secs(8)));
-    let error = ask(address).expect_err("it is given up");
+    let error = fetch(address).expect_err("the request times out");
     assert!(matches!(error, Error::Late { .. }), "{error}");
 }
 
-/// Small questions, to connections that are closed as soon as they are made, while an answer says nothing.
-fn small_questions_that_fail() -> usize {
+/// Number of probes during a silent response, each on a connection that is closed at once.
+fn count_failing_probes() -> usize {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address");
-    let came = Arc::new(AtomicUsize::new(0));
-    let counted = came.clone();
+    let address = listener.local_addr().expect("a bound address");
+    let probe_count = Arc::new(AtomicUsize::new(0));
+    let counter = probe_count.clone();
     spawn(move || {
-        let (_silent, _) = listener.accept().expect("a caller");
-        for closed in listener.incoming().flatten() {
-            drop(closed);
-            counted.fetch_add(1, Ordering::Relaxed);
+        let (_silent, _) = listener.accept().expect("a connection");
+        for connection in listener.incoming().flatten() {
+            drop(connection);
+            counter.fetch_add(1, Ordering::Relaxed);
         }
     });
     let call = || Call::get("/small".to_owned());
-    let answer = actix_rt::System::new().block_on(async move {
+    let result = actix_rt::System::new().block_on(async move {
         let mut client = Client::new(address).patient(call());
         client.call(&call(), BEGIN_MILLIS).await
     });
-    assert!(matches!(answer, Err(Error::Late { .. })));
-    came.load(Ordering::Relaxed)
+    assert!(matches!(result, Err(Error::Late { .. })));
+    probe_count.load(Ordering::Relaxed)
 }
 
 #[test]
-fn a_small_question_that_fails_at_once_is_not_asked_again_without_a_pause() {
-    let count = small_questions_that_fail();
-    println!("{count} small questions");
-    // 5 s of silence, and 250 ms at least between two of them.
-    assert!((1..=21).contains(&count), "{count} small questions");
+fn probes_that_fail_at_once_are_rate_limited() {
+    let count = count_failing_probes();
+    println!("{count} probes");
+    // 5 s of silence with at least 250 ms between probes.
+    assert!((1..=21).contains(&count), "{count} probes");
 }
 
-/// True where an answer with `status` counts as word of its server.
-fn is_word(status: u16) -> bool {
+/// True if data of a response with `status` is recorded as received.
+fn is_recorded(status: u16) -> bool {
     let address = serve(move |stream| {
         let head = format!(
             "HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n",
             BODY.len()
         );
-        stream.write_all(head.as_bytes()).expect("written");
-        stream.write_all(BODY).expect("written");
+        stream
+            .write_all(head.as_bytes())
+            .expect("the response is written");
+        stream.write_all(BODY).expect("the response is written");
     });
     actix_rt::System::new().block_on(async move {
-        let heard = Rc::new(Cell::new(None));
+        let last_received = Rc::new(Cell::new(None));
         let call = Call::get("/everything".to_owned());
-        let mut client = Client::noting(address, heard.clone());
-        client.call(&call, BEGIN_MILLIS).await.expect("an answer");
-        heard.get().is_some()
+        let mut client = Client::noting(address, last_received.clone());
+        client.call(&call, BEGIN_MILLIS).await.expect("a response");
+        last_received.get().is_some()
     })
 }
 
 #[test]
-fn a_refusal_is_no_word_of_what_is_in_force() {
-    assert!(is_word(200));
-    assert!(!is_word(429));
-    assert!(!is_word(503));
+fn an_error_response_is_not_recorded_as_received_data() {
+    assert!(is_recorded(200));
+    assert!(!is_recorded(429));
+    assert!(!is_recorded(503));
 }
--- a/crates/gingerpier_gateway/tests/log.rs
+++ b/crates/gingerpier_gateway/tests/log.rs
@@ -1,25 +1,24 @@
-//! Lines are written whole or not at all.
-//!
-//! Where more was logged than was written, lines were torn: what was over the bound was left out in the middle of a line, and
-//! the next one began there (`engine=i-ts=2026-…`), so that nobody could read either.
+//! Lines above the buffer limit are dropped as a whole, not cut in the middle.
 
-use {gingerpier_gateway::log::Lines, std::io::Write, tracing_subscriber::fmt::MakeWriter};
+use {gingerpier_gateway::log::LogBuffer, std::io::Write, tracing_subscriber::fmt::MakeWriter};
 
-/// More than is kept, in lines that no bound divides.
+/// More lines than the buffer holds; their length doesn't divide its limit.
 const LINES: usize = 40_000;
 
 #[test]
-fn a_line_that_does_not_fit_is_left_out_whole() {
-    let lines = Lines::default();
+fn a_line_above_the_limit_is_dropped_as_a_whole() {
+    let buffer = LogBuffer::default();
     for number in 0..LINES {
-        let mut writer = lines.make_writer();
-        // A line comes in pieces.
+        let mut writer = buffer.make_writer();
+        // Subscribers write a line in several pieces.
         for piece in ["level=info", " number=", &number.to_string(), "\n"] {
-            writer.write_all(piece.as_bytes()).expect("into memory");
+            writer
+                .write_all(piece.as_bytes())
+                .expect("writing to memory");
         }
     }
-    let written = String::from_utf8(lines.take()).expect("text");
-    let (mut whole, mut left_out) = (0, 0);
+    let written = String::from_utf8(buffer.drain()).expect("UTF-8");
+    let (mut whole, mut dropped) = (0, 0);
     for line in written.lines() {
         match line.strip_prefix("level=info number=") {
             Some(number) => {
@@ -28,10 +27,10 @@
             }
             None => {
                 let count = line.rsplit_once("count=").map(|(_, count)| count);
-                left_out = count.and_then(|count| count.parse().ok()).expect(line);
+                dropped = count.and_then(|count| count.parse().ok()).expect(line);
             }
         }
     }
-    assert!(whole > 0 && left_out > 0, "{whole}, {left_out}");
-    assert_eq!(whole + left_out, LINES, "what is left out is counted");
+    assert!(whole > 0 && dropped > 0, "{whole}, {dropped}");
+    assert_eq!(whole + dropped, LINES, "dropped lines are counted");
 }
--- a/crates/gingerpier_gateway/tests/rolling.rs
+++ b/crates/gingerpier_gateway/tests/rolling.rs
@@ -1,6 +1,7 @@
-//! Processes of an older program and of this one talk to each other while one is replaced by the other.
+//! Processes of the previous and the current release understand each other's messages during a
+//! rolling update.
 //!
-//! The older messages stand here as they were: a field that is new has to cost only what depends on it.
+//! The types here copy the previous messages.
 
 use {
     gingerpier_gateway::message::{
@@ -11,9 +12,9 @@
     std::net::SocketAddr,
 };
 
-/// An engine of a digest, before its start was told.
+/// An engine in a digest, without a start time.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-struct OlderEngine {
+struct PreviousEngine {
     #[n(0)]
     address: SocketAddr,
     #[n(1)]
@@ -32,10 +33,10 @@
     pace: u32,
 }
 
-/// A word to loaders, before it told of weights that nobody named.
+/// A subscription, without unreleased versions.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
-struct OlderSubscribe {
+struct PreviousSubscribe {
     #[n(0)]
     zone: String,
     #[n(1)]
@@ -70,35 +71,38 @@
 }
 
 #[test]
-fn a_digest_is_understood_both_ways() {
-    let new = message::encode(&engine());
-    let older: OlderEngine = message::decode(&new).expect("older programs pass over the new field");
-    assert_eq!((older.address, older.active), (address(), 2));
-    let known: DigestEngine = message::decode(&message::encode(&older)).expect("understood");
+fn digests_are_compatible_with_the_previous_release() {
+    let encoded = message::encode(&engine());
+    let previous: PreviousEngine =
+        message::decode(&encoded).expect("the previous release skips the new field");
+    assert_eq!((previous.address, previous.active), (address(), 2));
+    let decoded: DigestEngine =
+        message::decode(&message::encode(&previous)).expect("a valid message");
     let expected = DigestEngine {
         born_after: 0,
         ..engine()
     };
-    assert_eq!(known, expected);
+    assert_eq!(decoded, expected);
 }
 
 #[test]
-fn a_word_to_loaders_is_understood_both_ways() {
-    let older = OlderSubscribe {
+fn subscriptions_are_compatible_with_the_previous_release() {
+    let previous = PreviousSubscribe {
         zone: "z".to_owned(),
         named: Vec::new(),
         stamp: 1,
         configuration: 2,
         weights_digest: 3,
     };
-    let known: Subscribe = message::decode(&message::encode(&older)).expect("understood");
-    assert_eq!((known.stamp, known.unnamed.len()), (1, 0));
-    let again: OlderSubscribe = message::decode(&message::encode(&known)).expect("understood");
-    assert_eq!(again, older);
+    let decoded: Subscribe = message::decode(&message::encode(&previous)).expect("a valid message");
+    assert_eq!((decoded.stamp, decoded.unnamed.len()), (1, 0));
+    let re_encoded: PreviousSubscribe =
+        message::decode(&message::encode(&decoded)).expect("a valid message");
+    assert_eq!(re_encoded, previous);
 }
 
 #[test]
-fn the_start_of_an_engine_goes_along_with_its_report() {
+fn a_load_message_keeps_the_start_time_of_the_engine() {
     let report = Report {
         born: Some(Born(1_780_000_000_000)),
         held: vec![Held {
@@ -110,13 +114,13 @@
     };
     let load = Load::new(address().to_string(), &report);
     assert_eq!(load.report(), report);
-    let untold = Load { born: 0, ..load };
-    assert_eq!(untold.report().born, None);
+    let without_start_time = Load { born: 0, ..load };
+    assert_eq!(without_start_time.report().born, None);
 }
 
-/// Gateways of a zone send each start some 4 times a second to every other zone.
+/// Each start time is sent to every other zone about 4 times per second.
 #[test]
-fn starts_cost_few_bytes_of_a_digest() {
+fn start_times_add_few_bytes_to_a_digest() {
     let digest = |born_after: u64, first_born: u64| Digest {
         zone: "z".to_owned(),
         sender: address(),
@@ -136,10 +140,10 @@
         first_born,
     };
     let without = message::encode(&digest(0, 0)).len();
-    // Engines that started within a day of each other.
+    // Engine start times within a day.
     let with = message::encode(&digest(86_400_000, 1_780_000_000_000)).len();
     assert!(
         with - without <= 24 * 5,
-        "{without} bytes, {with} with starts"
+        "{without} bytes, {with} with start times"
     );
 }
