--- a/crates/gingerpier_gateway/src/loader/report.rs
+++ b/crates/gingerpier_gateway/src/loader/report.rs
@@ -62,7 +62,7 @@
 
 fn record_subscription(loader: &Loader, from: SocketAddr, subscribe: Subscribe) {
     for release in subscribe.named {
-        loader.note_peer_release(release, Teller(order::hash(&from)));
+        loader.record_peer_release(release, Teller(order::hash(&from)));
     }
     let mut subscribers = loader.subscribers.borrow_mut();
     let previous = subscribers.get(&from);
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -105,7 +105,7 @@
 async fn wait_for_other_step(loader: &Loader, asking: &mut Asking, scope: Scope) {
     loop {
         let is_due = matches!(next_step(loader, asking), Step::Gateway(_) | Step::Store);
-        let is_too_wide = scope == Scope::Operators && watch_scope(loader) == Scope::Weights;
+        let is_too_wide = scope == Scope::Operators && self::watch_scope(loader) == Scope::Weights;
         if is_due || is_too_wide {
             return;
         }
@@ -146,7 +146,7 @@
     // Kept apart from the gateway's subscriptions, which report more precise ages.
     let source = Teller(!order::hash(&gateway));
     for release in response.named {
-        loader.note_peer_release(release, source);
+        loader.record_peer_release(release, source);
     }
     *loader.fleet.borrow_mut() = response.fleet;
     Ok(())
@@ -207,7 +207,7 @@
                 loader.update_services(configuration.services_part().for_loaders());
             }
             // Gateways report when the release deadline began; without gateways no requests start.
-            Some(Fact::Weights(model_version)) => loader.note_release(&model_version, OWN, 0),
+            Some(Fact::Weights(model_version)) => loader.record_release(&model_version, OWN, 0),
             Some(Fact::Engine(_) | Fact::Evacuation(_) | Fact::Other) | None => {}
         }
     }
--- a/crates/gingerpier_gateway/src/loader/update.rs
+++ b/crates/gingerpier_gateway/src/loader/update.rs
@@ -243,7 +243,7 @@
         },
         peers: loaders.clone().collect(),
         window: TREE_WINDOW,
-        patience_millis: TREE_CHUNK_TIMEOUT_MILLIS,
+        attempt_timeout_millis: TREE_CHUNK_TIMEOUT_MILLIS,
         origin,
         origin_concurrency,
         link_concurrency: MAX_TREE_TRANSFERS,
@@ -274,7 +274,7 @@
         },
         peers: addresses,
         window: GATEWAY_WINDOW,
-        patience_millis: GATEWAY_CHUNK_TIMEOUT_MILLIS,
+        attempt_timeout_millis: GATEWAY_CHUNK_TIMEOUT_MILLIS,
         link_concurrency: MAX_GATEWAY_TRANSFERS,
         origin_start: None,
         ..tree_spec
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -18,7 +18,7 @@
 impl Loader {
     /// Records a release that was published at most `age` milliseconds ago, as reported by
     /// `source`.
-    pub fn note_release(&self, model_version: &Named, source: Teller, age: u64) {
+    pub fn record_release(&self, model_version: &Named, source: Teller, age: u64) {
         let now = clock::now();
         let earliest = Instant::from_millis(now.as_millis().saturating_sub(age));
         let mut releases = self.releases.borrow_mut();
@@ -34,12 +34,12 @@
     }
 
     /// Records a release that the gateway `source` reported.
-    pub fn note_peer_release(&self, release: message::Naming, source: Teller) {
+    pub fn record_peer_release(&self, release: message::Naming, source: Teller) {
         let model_version = Named {
             model: release.model,
             version: Version(release.version),
         };
-        self.note_release(&model_version, source, release.age);
+        self.record_release(&model_version, source, release.age);
     }
 
     /// Known releases of `model`.
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -38,8 +38,8 @@
 /// Time without a new chunk after which changed sources replace the current ones.
 const SOURCE_CHECK_MILLIS: u64 = 700;
 
-/// Least time between two reductions of the request window.
-const MIN_NARROW_INTERVAL_MILLIS: u64 = 300;
+/// Least time between two reductions of concurrent peer requests.
+const MIN_HALVING_INTERVAL_MILLIS: u64 = 300;
 
 /// Corrupt chunks from the origin after which the manifest itself is fetched again.
 const MAX_CORRUPT_ORIGIN_CHUNKS: u32 = 6;
@@ -159,14 +159,14 @@
     pool: Rc<RefCell<Pool<SocketAddr>>>,
     sender: UnboundedSender<Event>,
     events: UnboundedReceiver<Event>,
-    patience_millis: u64,
+    attempt_timeout_millis: u64,
     /// Running requests by attempt id.
     in_flight: HashMap<u64, JoinHandle<()>>,
-    /// Actions from shrinking the request window, to be run with the next poll.
+    /// Cancellations due to fewer concurrent peer requests, run with the next poll.
     actions: Vec<Action>,
-    last_narrowed: Instant,
+    last_halved: Instant,
     corrupt_origin_chunks: u32,
-    origin_chunks: u32,
+    chunks_from_origin: u32,
 }
 
 impl Drop for Download {
@@ -187,12 +187,12 @@
     ) -> Self {
         let terms = Terms {
             window: spec.window,
-            patience_millis: spec.patience_millis,
+            patience_millis: spec.attempt_timeout_millis,
             ..TERMS
         };
         let manifest = carrier.manifest(&model_version);
         let count = manifest.map_or(0, |manifest| manifest.digests.len());
-        let entry_chunks = spec.route.entries(count as u32);
+        let origin_chunks = spec.route.entries(count as u32);
         let mut fetch = Fetch::along(terms, spec.route.clone(), count as u32);
         let chunk_cache = carrier.chunk_cache.borrow();
         if let Some(chunk_set) = chunk_cache.get(&model_version.model, model_version.version) {
@@ -203,11 +203,11 @@
             }
         }
         drop(chunk_cache);
-        // Chunks that enter the zone here bypass the window, so that the origin's link never idles.
-        for chunk in entry_chunks {
+        // Chunks from the origin bypass the window, so that its link never idles.
+        for chunk in origin_chunks {
             fetch.want(chunk);
         }
-        if let Some(width) = carrier.last_window.get() {
+        if let Some(width) = carrier.sustained_peer_requests.get() {
             fetch.start_with(width);
         }
         let (sender, events) = unbounded_channel();
@@ -219,12 +219,12 @@
             pool: Rc::default(),
             sender,
             events,
-            patience_millis: terms.patience_millis,
+            attempt_timeout_millis: terms.patience_millis,
             in_flight: HashMap::new(),
             actions: Vec::new(),
-            last_narrowed: Instant::default(),
+            last_halved: Instant::default(),
             corrupt_origin_chunks: 0,
-            origin_chunks: 0,
+            chunks_from_origin: 0,
         }
     }
 
@@ -256,11 +256,13 @@
                     }
                     Action::Complete => {
                         let took = clock::now().millis_since(started);
-                        self.carrier.last_window.set(Some(self.fetch.width()));
+                        self.carrier
+                            .sustained_peer_requests
+                            .set(Some(self.fetch.width()));
                         tracing::info!(
                             version = self.model_version.version.0,
                             took,
-                            from_origin = self.origin_chunks,
+                            from_origin = self.chunks_from_origin,
                             "weights complete"
                         );
                         return DownloadEnd::Complete;
@@ -287,15 +289,15 @@
         match event {
             Event::SlowTransfer
                 if self
-                    .last_narrowed
-                    .after_millis(MIN_NARROW_INTERVAL_MILLIS)
+                    .last_halved
+                    .after_millis(MIN_HALVING_INTERVAL_MILLIS)
                     .has_passed(now) =>
             {
-                self.last_narrowed = now;
+                self.last_halved = now;
                 self.fetch.narrow(&mut self.actions);
                 tracing::info!(
                     width = self.fetch.width(),
-                    "slow chunk transfer; request window reduced"
+                    "slow chunk transfer; concurrent peer requests halved"
                 );
             }
             Event::SlowTransfer => {}
@@ -314,7 +316,7 @@
                 if !matches!(outcome, Outcome::Held | Outcome::Corrupt) {
                     tracing::info!(chunk, ?source, ?outcome, "chunk request failed");
                 }
-                self.origin_chunks +=
+                self.chunks_from_origin +=
                     u32::from(outcome == Outcome::Held && source == Source::Origin);
                 self.fetch.end(chunk, attempt, outcome, now);
             }
@@ -344,7 +346,7 @@
             source,
             attempt,
             address,
-            deadline: clock::now().after_millis(self.patience_millis),
+            deadline: clock::now().after_millis(self.attempt_timeout_millis),
         };
         self.in_flight
             .insert(attempt, actix_rt::spawn(request.run()));
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -64,8 +64,8 @@
     pub arrived: Notify,
     /// Limits concurrent uploads.
     pub upload_permits: Semaphore,
-    /// Request window that the link sustained in the last fetch.
-    pub last_window: Cell<Option<usize>>,
+    /// Concurrent peer requests that the link sustained in the last fetch.
+    pub sustained_peer_requests: Cell<Option<usize>>,
 }
 
 impl Carrier {
@@ -97,7 +97,7 @@
             pace: None,
             arrived: Notify::new(),
             upload_permits: Semaphore::new(MAX_UPLOADS_WIDE),
-            last_window: Cell::new(None),
+            sustained_peer_requests: Cell::new(None),
         }
     }
 
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -257,7 +257,7 @@
         peers,
         origin,
         window: WINDOW,
-        patience_millis: CHUNK_TIMEOUT_MILLIS,
+        attempt_timeout_millis: CHUNK_TIMEOUT_MILLIS,
         origin_concurrency: MAX_ORIGIN_REQUESTS,
         link_concurrency: MAX_PEER_TRANSFERS,
         origin_start: None,
--- a/crates/gingerpier_gateway/src/weights/sources.rs
+++ b/crates/gingerpier_gateway/src/weights/sources.rs
@@ -26,7 +26,7 @@
     /// Concurrent chunk requests. Each occupies a connection, and peers limit new connections.
     pub window: usize,
     /// Time limit for one chunk from a source that reports that it still waits itself.
-    pub patience_millis: u64,
+    pub attempt_timeout_millis: u64,
     /// Concurrent requests to the origin.
     pub origin_concurrency: usize,
     /// Concurrent transfers from peers.
--- a/crates/gingerpier_gateway/tests/rolling.rs
+++ b/crates/gingerpier_gateway/tests/rolling.rs
@@ -1,5 +1,5 @@
-//! Processes of the previous and the current release understand each other's messages during a
-//! rolling update.
+//! Processes of the previous and the current program version understand each other's messages
+//! during a rolling update.
 //!
 //! The types here copy the previous messages.
 
@@ -71,10 +71,10 @@
 }
 
 #[test]
-fn digests_are_compatible_with_the_previous_release() {
+fn digests_are_compatible_with_the_previous_program_version() {
     let encoded = message::encode(&engine());
     let previous: PreviousEngine =
-        message::decode(&encoded).expect("the previous release skips the new field");
+        message::decode(&encoded).expect("the previous version skips the new field");
     assert_eq!((previous.address, previous.active), (address(), 2));
     let decoded: DigestEngine =
         message::decode(&message::encode(&previous)).expect("a valid message");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn subscriptions_are_compatible_with_the_previous_release() {
+fn subscriptions_are_compatible_with_the_previous_program_version() {
     let previous = PreviousSubscribe {
         zone: "z".to_owned(),
         named: Vec::new(),
