--- a/crates/gingerpier_gateway/src/items.rs
+++ b/crates/gingerpier_gateway/src/items.rs
@@ -1,4 +1,4 @@
-//! Parses store items through the platform adapter and logs what they lack.
+//! Parses store items through the platform protocol and logs what they lack.
 
 use {
     gingerpier_serving::{
@@ -54,7 +54,7 @@
 }
 
 impl Reader {
-    /// Parser that uses the platform adapter `dialect`.
+    /// Parser that uses the platform protocol `dialect`.
     pub const fn new(dialect: &'static dyn Dialect) -> Self {
         Self {
             dialect,
--- a/crates/gingerpier_gateway/src/loader/activation.rs
+++ b/crates/gingerpier_gateway/src/loader/activation.rs
@@ -109,7 +109,7 @@
 pub enum OrderOutcome {
     /// The engine loaded the weights.
     Loaded,
-    /// The engine rejected the order or may not have received it.
+    /// The engine refused the order or may not have received it.
     NotAccepted,
     /// The engine accepted the order, but didn't load the weights; it may have crashed.
     Failed,
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -84,7 +84,7 @@
     pub settings: Settings,
     /// Addresses of the seed gateways for loaders.
     seeds: Vec<SocketAddr>,
-    /// Platform adapter.
+    /// Platform protocol.
     pub dialect: &'static dyn Dialect,
     /// Parser of store items.
     pub items: Reader,
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -44,8 +44,8 @@
                 record_result(&loader, &mut asking, Source::Gateway, result);
             }
             Step::Store => {
-                // A gateway heard of during the read sends far less data than the store. Known
-                // gateways have already failed.
+                // A newly known gateway sends far less data than the store. The others have
+                // already failed.
                 let has_no_informed_gateway = loader.informed_gateways().is_empty();
                 let result = tokio::select! {
                     result = read_store(&loader, &mut client, Scope::Operators) => result,
--- a/crates/gingerpier_gateway/src/loader/update.rs
+++ b/crates/gingerpier_gateway/src/loader/update.rs
@@ -56,7 +56,7 @@
 const MANIFEST_DELAY_MILLIS: u64 = 300;
 
 /// Time that an engine may take to start before its target version is fetched without its report.
-/// After a common restart, the engine may turn out to hold the same version as others.
+/// After a common restart, the engine may turn out to have the same version as others.
 const ENGINE_STARTUP_MILLIS: u64 = 500;
 
 /// Interval between checks of the loaded version.
@@ -92,7 +92,7 @@
     }
 }
 
-/// Fetches and activates the target version whenever the engine lacks it.
+/// Fetches and activates the target version whenever the engine lacks it; runs forever.
 pub async fn run(loader: Rc<Loader>) {
     let mut updates: Vec<Update> = Vec::new();
     let mut startup_deadline: Option<Instant> = None;
@@ -113,7 +113,7 @@
         let Some(target) = loader.target() else {
             continue;
         };
-        // Without a known version, the engine may hold what other engines will report.
+        // Without a known version, the engine may have the version that others will report.
         let has_version = target.version > Version::default();
         let now = clock::now();
         if has_version {
@@ -189,7 +189,7 @@
     let mut failures = 0;
     loop {
         wait_until_order_allowed(&loader, &model_version).await;
-        // The engine's staging area holds one version at a time.
+        // The engine's staging area has room for one version.
         let _guard = loader.engine_lock.lock().await;
         let is_loaded = loader
             .loaded_version(&model_version.model)
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -16,7 +16,7 @@
 };
 
 impl Loader {
-    /// Records a release that was published at most `age` milliseconds ago, as reported by
+    /// Records a release made at most `age` milliseconds ago, as reported by
     /// `source`.
     pub fn record_release(&self, model_version: &Named, source: Teller, age: u64) {
         let now = clock::now();
--- a/crates/gingerpier_gateway/src/message/snapshot.rs
+++ b/crates/gingerpier_gateway/src/message/snapshot.rs
@@ -33,7 +33,7 @@
     /// Items, or changed items.
     #[n(1)]
     pub items: Vec<SharedItem>,
-    /// True if `items` holds changes only.
+    /// True if `items` has changes only.
     #[cbor(n(2), default)]
     pub is_changes: bool,
 }
--- a/crates/gingerpier_gateway/src/pool.rs
+++ b/crates/gingerpier_gateway/src/pool.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Closes expired connections and those to peers that `keep` rejects.
+    /// Closes expired connections and those to peers for which `keep` returns false.
     pub fn sweep<F: Fn(&K) -> bool>(&mut self, keep: F) {
         let now = clock::now();
         self.idle.retain(|peer, idle| {
--- a/crates/gingerpier_gateway/src/relay.rs
+++ b/crates/gingerpier_gateway/src/relay.rs
@@ -35,7 +35,7 @@
 /// Path that lists held requests.
 const HELD_PATH: &str = "/held";
 
-/// Path prefix that releases a held request by its fingerprint.
+/// Path prefix that dismisses the hold on a request, followed by its fingerprint.
 const RELEASE_PATH: &str = "/release/";
 
 /// Interval between polls of peers while the store is unreachable.
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -131,7 +131,7 @@
     };
     let served = carrier.served.borrow().clone();
     if served.is_some_and(|served| served != *model_version) {
-        // The engine's staging area holds another version.
+        // The engine's staging area contains another version.
         return;
     }
     let Some(engine) = carrier.engine else { return };
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -44,9 +44,9 @@
 
 /// Chunk cache of a process and the state of its weights transfers.
 pub struct Carrier {
-    /// Platform adapter.
+    /// Platform protocol.
     pub dialect: &'static dyn Dialect,
-    /// Chunks held in memory.
+    /// Chunks in memory.
     pub chunk_cache: RefCell<ChunkCache>,
     /// Encoded engine and service configuration for loaders; set on gateways once known.
     pub figures: RefCell<Option<Bytes>>,
@@ -141,12 +141,12 @@
     }
 
     /// What is cached or being fetched of a model.
-    pub fn availability(&self, model: &str) -> Availability {
+    pub fn fetch_status(&self, model: &str) -> FetchStatus {
         let chunk_cache = self.chunk_cache.borrow();
         let of_model = chunk_cache.of_model(model);
         let is_of_model =
             |other: &Named| other.model == model && other.version > Version::default();
-        Availability {
+        FetchStatus {
             is_fetching: self.fetching.borrow().iter().any(is_of_model),
             chunks: of_model.map(ChunkSet::cached_count).sum(),
         }
@@ -169,7 +169,7 @@
 
 /// What is cached or being fetched of a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Availability {
+pub struct FetchStatus {
     /// True if some version is being fetched.
     pub is_fetching: bool,
     /// Number of cached chunks over all versions.
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -194,7 +194,7 @@
 }
 
 /// Loaders to request chunks of `model_version` from before the origin: those whose engines serve
-/// it, else all that may hold some of its chunks. Prefers loaders in the own zone.
+/// it, else all that may have some of its chunks. Prefers loaders in the own zone.
 fn holder_addresses(state: &State, model_version: &Named) -> Vec<SocketAddr> {
     let now = clock::now();
     let fleet = state.fleet.borrow();
--- a/crates/gingerpier_gateway/src/weights/search.rs
+++ b/crates/gingerpier_gateway/src/weights/search.rs
@@ -63,15 +63,15 @@
 
 fn observe(state: &State, service: &str, model: &str) -> Seen {
     let known = state.known_weights(service, model);
-    let availability = state.carrier.availability(model);
+    let fetch_status = state.carrier.fetch_status(model);
     Seen {
         is_lacking: state.lacks_weights(service, model),
-        is_known: known.wanted().is_some() || availability.is_fetching,
+        is_known: known.wanted().is_some() || fetch_status.is_fetching,
         is_whole: known.wanted().is_some_and(|version| {
             let model = model.to_owned();
             state.carrier.is_complete(&Named { model, version })
         }),
-        chunks: availability.chunks,
+        chunks: fetch_status.chunks,
         rank: rank(state, model),
     }
 }
