--- a/crates/gingerpier_weights/src/fetch.rs
+++ b/crates/gingerpier_weights/src/fetch.rs
@@ -1,15 +1,15 @@
-//! One replica's fetch of one version.
+//! State machine that fetches one version to one process.
 //!
-//! The machine keeps a window of chunks under way, in rising order, so that every replica works
-//! on the same part of the version and the origin's link carries few chunks at a time. Each
-//! chunk has a deadline that moves on with progress and a last deadline that does not; where
-//! either passes, or the source fails or sends wrong bytes, the next source of the plan is taken.
+//! It requests a window of chunks in increasing order, so that all replicas work on the same part
+//! of the version and the origin serves few chunks at a time. Each attempt has a stall deadline,
+//! which progress extends, and a total deadline. When one passes, or the source fails or sends
+//! corrupt data, the next source of the route is used.
 //!
-//! A peer that sends anything on one question is not stalled on its others, unless it never mentions
-//! them: whether its process runs and its link carries shows at all its questions together.
+//! Any message of a peer extends the stall deadlines of all requests to it. A request that gets no
+//! message of its own for two stall periods is cancelled nevertheless.
 //!
-//! Deadlines measure the sources, so time in which this process itself did not run does not count:
-//! what they sent meanwhile has not been read yet. Whoever drives the fetch tells when a look was due.
+//! If this process was not scheduled for some time, all deadlines are extended by it, because data
+//! that arrived meanwhile is still unread; see [`Fetch::note_look`].
 
 use {
     crate::{
@@ -20,23 +20,22 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How a fetch behaves.
+/// Parameters of a fetch.
 #[derive(Debug, Clone, Copy)]
 pub struct Terms {
-    /// Chunks under way at once; default 24.
+    /// Chunks fetched concurrently; default 24.
     pub window: usize,
-    /// Milliseconds without progress before the next source is taken; default 2,000.
+    /// Time in milliseconds without progress before the next source is used; default 2,000.
     pub stall_millis: u64,
-    /// Milliseconds that one source may take for one chunk; default 30,000.
+    /// Timeout of one attempt in milliseconds; default 30,000.
     pub patience_millis: u64,
-    /// Milliseconds before the first source is asked again once all have failed; default 1,000. They double
-    /// with each round in which nothing came.
+    /// Delay in milliseconds before a chunk's sources are tried again after all have failed;
+    /// default 1,000. Doubles with each consecutive failed round, up to three times.
     pub pause_millis: u64,
-    /// Chunks asked for at the origin at once, the lowest first; default 24.
+    /// Maximum concurrent requests to the origin; default 24.
     ///
-    /// Others ask for chunks in rising order. What comes out of order stays with whoever took it in, and is lost
-    /// where that one ends: after six tenths of those who took them in were killed, 126 chunks left the origin where
-    /// about 48 were missing. Played alone, the order did not change that.
+    /// The lowest chunks are requested first, because a chunk that is fetched long before the
+    /// replicas' windows reach it has a single holder and is lost with it.
     pub origin_at_once: usize,
 }
 
@@ -53,68 +52,68 @@
 }
 
 impl Terms {
-    /// When a question that was last mentioned `now` counts as forgotten.
-    const fn forgotten_at(&self, now: Instant) -> Instant {
-        now.after_millis(FORGOTTEN_STALLS * self.stall_millis)
+    /// Stall deadline of a request that made progress `now`.
+    const fn request_stall_deadline(&self, now: Instant) -> Instant {
+        now.after_millis(REQUEST_STALLS * self.stall_millis)
     }
 }
 
-/// Attempts at once, for each chunk of the window: what others wait for here comes on top.
-const WIDTHS: usize = 4;
+/// Limit of concurrent requests to peers, per chunk of the window; more than one because of chunks
+/// that other replicas request from this process.
+const PEER_REQUESTS_PER_WINDOW_CHUNK: usize = 4;
 
-/// Least attempts at once.
-const LEAST_WIDTH: usize = 4;
+/// Minimum limit of concurrent requests to peers.
+const MIN_PEER_REQUESTS: usize = 4;
 
-/// Milliseconds by which a look at deadlines may be late before this process counts as not having
-/// run: more than a busy machine's usual delay, and far less than a stall.
-const LATE_MILLIS: u64 = 100;
+/// Delay in milliseconds of a poll from which this process counts as not scheduled.
+const LATE_POLL_MILLIS: u64 = 100;
 
-/// Stalls after which a question that its source never mentions counts as forgotten, although the
-/// source speaks on others: words on each question are due at least once in a stall.
-const FORGOTTEN_STALLS: u64 = 2;
+/// Stall periods without any message on a request after which it is cancelled, although its source
+/// sends messages on others.
+const REQUEST_STALLS: u64 = 2;
 
-/// Doublings of the pause between rounds. Where a version was given up by those who took it in, 76 processes that each
-/// asked all of 40 sources for 24 chunks every 100 ms sent 16,000 questions a second for it.
-const MOST_DOUBLINGS: u32 = 3;
+/// Maximum doublings of the delay between rounds; bounds the requests sent while no source has a
+/// chunk.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Attempts more for each chunk that came.
-const WIDENING: usize = 2;
+/// Increase of the limit of concurrent requests to peers for each received chunk.
+const PEER_REQUESTS_INCREMENT: usize = 2;
 
-/// What to do next.
+/// Output of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Ask `source` for `chunk`; answers carry `attempt`.
+    /// Request `chunk` from `source`; the response is reported with the number `attempt`.
     Ask {
-        /// Chunk wanted.
+        /// Requested chunk.
         chunk: u32,
-        /// Whom to ask.
+        /// Source to send the request to.
         source: Source,
-        /// Number of the attempt.
+        /// Attempt number.
         attempt: u64,
     },
-    /// Drop the attempt: it stalled.
+    /// Cancel the attempt.
     Drop {
-        /// Chunk wanted.
+        /// Requested chunk.
         chunk: u32,
-        /// Source that stalled.
+        /// Source of the cancelled attempt.
         source: Source,
-        /// Number of the attempt.
+        /// Attempt number.
         attempt: u64,
     },
-    /// Every chunk is held.
+    /// All chunks are present.
     Complete,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The chunk is held, and its digest is right.
+    /// The chunk was received and its digest is correct.
     Held,
-    /// The source can't give it.
+    /// The source can't provide the chunk.
     Failed,
-    /// The source gave other bytes.
+    /// The received data doesn't match the chunk's digest.
     Corrupt,
-    /// The source asks to be left alone until the instant.
+    /// The source is overloaded; holds the earliest time of a retry.
     Refused(Instant),
 }
 
@@ -122,159 +121,165 @@
 struct Attempt {
     number: u64,
     source: Source,
-    /// Until when the source may be silent; never after `forgotten_deadline`, but for the origin.
+    /// Extended by any response of the source; for peers, at most to `request_stall_deadline`.
     stall_deadline: Instant,
-    /// Until when the source may be silent on this question.
-    forgotten_deadline: Instant,
-    last_deadline: Instant,
+    /// Extended only by responses to this request.
+    request_stall_deadline: Instant,
+    total_deadline: Instant,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Chunk {
-    /// Sources passed over so far in this round.
-    passed: usize,
-    /// Rounds in a row in which all sources failed.
-    rounds: u32,
-    /// No attempt before this.
-    not_before: Instant,
+    /// Sources tried in this round.
+    failed_sources: usize,
+    /// Consecutive rounds in which all sources failed.
+    failed_rounds: u32,
+    /// Earliest time of the next attempt.
+    retry_at: Instant,
     attempt: Option<Attempt>,
 }
 
-/// A fetch under way.
+/// Progress of one version's fetch.
 #[derive(Debug)]
 pub struct Fetch {
     terms: Terms,
     route: Route,
-    held: Vec<bool>,
+    is_held: Vec<bool>,
     held_count: u32,
-    /// Lowest chunk that has not been started.
-    next: u32,
-    open: BTreeMap<u32, Chunk>,
-    /// Replicas that sent wrong bytes; they are passed over.
-    blamed: BTreeSet<ReplicaKey>,
-    attempts: u64,
-    /// Attempts that may be under way at once: halved by each stall, one more for each chunk.
-    width: usize,
-    scratch: Vec<Source>,
+    /// Lowest chunk that the window has not reached.
+    next_chunk: u32,
+    open_chunks: BTreeMap<u32, Chunk>,
+    /// Replicas that sent corrupt data; skipped while other sources are left.
+    corrupt_replicas: BTreeSet<ReplicaKey>,
+    last_attempt: u64,
+    /// Limit of concurrent requests to peers: halved after a stall, increased with each received
+    /// chunk.
+    max_peer_requests: usize,
+    source_buffer: Vec<Source>,
 }
 
 impl Fetch {
-    /// Fetch by `own` of a version of `chunk_count` chunks.
+    /// Creates a fetch along the trees of `plan`, by the replica `own`.
     pub fn new(terms: Terms, plan: Plan, own: ReplicaKey, chunk_count: u32) -> Self {
         let holders = Holders::default();
         Self::along(terms, Route::Tree { plan, own, holders }, chunk_count)
     }
 
-    /// Fetch of a version of `chunk_count` chunks along `route`.
+    /// Creates a fetch of `chunk_count` chunks along `route`.
     pub fn along(terms: Terms, route: Route, chunk_count: u32) -> Self {
         Self {
             terms,
             route,
-            held: vec![false; chunk_count as usize],
+            is_held: vec![false; chunk_count as usize],
             held_count: 0,
-            next: 0,
-            open: BTreeMap::new(),
-            blamed: BTreeSet::new(),
-            attempts: 0,
-            width: WIDTHS * terms.window,
-            scratch: Vec::new(),
+            next_chunk: 0,
+            open_chunks: BTreeMap::new(),
+            corrupt_replicas: BTreeSet::new(),
+            last_attempt: 0,
+            max_peer_requests: PEER_REQUESTS_PER_WINDOW_CHUNK * terms.window,
+            source_buffer: Vec::new(),
         }
     }
 
-    /// Notes a chunk that is here already, shared with another version.
+    /// Marks a chunk as present, for example because another version contains it.
     pub fn note_held(&mut self, chunk: u32) {
-        let held = &mut self.held[chunk as usize];
-        self.held_count += u32::from(!*held);
-        *held = true;
+        let is_held = &mut self.is_held[chunk as usize];
+        self.held_count += u32::from(!*is_held);
+        *is_held = true;
     }
 
-    /// Chunks held.
+    /// Number of chunks that are present.
     pub const fn held_count(&self) -> u32 {
         self.held_count
     }
 
-    /// Chunks of the version.
+    /// Number of chunks of the version.
     pub fn chunk_count(&self) -> u32 {
-        self.held.len() as u32
+        self.is_held.len() as u32
     }
 
-    /// True once every chunk is held.
+    /// True if all chunks are present.
     pub fn is_complete(&self) -> bool {
         self.held_count == self.chunk_count()
     }
 
-    /// Replicas that sent wrong bytes.
-    pub fn blamed(&self) -> impl Iterator<Item = ReplicaKey> {
-        self.blamed.iter().copied()
+    /// Replicas that sent corrupt data.
+    pub fn corrupt_replicas(&self) -> impl Iterator<Item = ReplicaKey> {
+        self.corrupt_replicas.iter().copied()
     }
 
-    /// Takes a new plan; attempts under way go on, and the next ones follow it.
+    /// Replaces the plan; attempts in flight continue.
     ///
-    /// Keys of the old plan mean nothing in the new one, so blame is given anew.
+    /// Clears the corrupt sources, because replica keys are only valid within one plan.
     pub fn replan(&mut self, plan: Plan, own: ReplicaKey) {
         let holders = Holders::default();
         self.route = Route::Tree { plan, own, holders };
-        self.blamed.clear();
-        for chunk in self.open.values_mut() {
-            chunk.passed = 0;
+        self.corrupt_replicas.clear();
+        for chunk in self.open_chunks.values_mut() {
+            chunk.failed_sources = 0;
         }
     }
 
-    /// Opens chunks, takes next sources where deadlines passed, and writes what to do.
+    /// Cancels stalled attempts, starts new ones, and appends the resulting actions.
     pub fn poll(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        self.open_window();
-        let open: Vec<u32> = self.open.keys().copied().collect();
-        for chunk in open {
-            self.drop_stalled(chunk, now, actions);
-            self.ask(chunk, now, actions);
+        self.fill_window();
+        let chunks: Vec<u32> = self.open_chunks.keys().copied().collect();
+        for chunk in chunks {
+            self.cancel_stalled(chunk, now, actions);
+            self.request_chunk(chunk, now, actions);
         }
         if self.is_complete() {
             actions.push(Action::Complete);
         }
     }
 
-    /// Notes that a look that was due at `due` is taken `now`: where it is late, all deadlines move by
-    /// as much.
+    /// Extends all deadlines by the delay of a poll that was due at `due`, if that is more than
+    /// [`LATE_POLL_MILLIS`].
     pub fn note_look(&mut self, due: Instant, now: Instant) {
-        let lost_millis = now.millis_since(due);
-        if lost_millis <= LATE_MILLIS {
+        let late_millis = now.millis_since(due);
+        if late_millis <= LATE_POLL_MILLIS {
             return;
         }
         for attempt in self
-            .open
+            .open_chunks
             .values_mut()
             .filter_map(|chunk| chunk.attempt.as_mut())
         {
-            attempt.stall_deadline = attempt.stall_deadline.after_millis(lost_millis);
-            attempt.forgotten_deadline = attempt.forgotten_deadline.after_millis(lost_millis);
-            attempt.last_deadline = attempt.last_deadline.after_millis(lost_millis);
+            attempt.stall_deadline = attempt.stall_deadline.after_millis(late_millis);
+            attempt.request_stall_deadline =
+                attempt.request_stall_deadline.after_millis(late_millis);
+            attempt.total_deadline = attempt.total_deadline.after_millis(late_millis);
         }
     }
 
-    /// Starts `chunk` ahead of the window, because another replica waits for it here.
+    /// Fetches `chunk` ahead of the window, because another replica requested it.
     pub fn want(&mut self, chunk: u32) {
-        let known = (chunk as usize) < self.held.len();
-        if known && !self.held[chunk as usize] && self.open.len() < 4 * self.terms.window {
-            self.open.entry(chunk).or_default();
+        let is_valid = (chunk as usize) < self.is_held.len();
+        if is_valid
+            && !self.is_held[chunk as usize]
+            && self.open_chunks.len() < 4 * self.terms.window
+        {
+            self.open_chunks.entry(chunk).or_default();
         }
     }
 
-    /// Notes that the source of `attempt` sent bytes, or said that it is still waiting itself.
+    /// Records that the source of `attempt` sent data, or reported that it is waiting for the chunk
+    /// itself.
     pub fn progress(&mut self, chunk: u32, attempt: u64, now: Instant) {
         let stall_deadline = now.after_millis(self.terms.stall_millis);
-        let forgotten_deadline = self.terms.forgotten_at(now);
-        if let Some(under_way) = self.attempt_mut(chunk, attempt) {
-            under_way.stall_deadline = stall_deadline;
-            under_way.forgotten_deadline = forgotten_deadline;
+        let request_stall_deadline = self.terms.request_stall_deadline(now);
+        if let Some(current) = self.attempt_mut(chunk, attempt) {
+            current.stall_deadline = stall_deadline;
+            current.request_stall_deadline = request_stall_deadline;
         }
     }
 
-    /// Notes that the origin sent bytes of some chunk: what else was asked of it is not stalled, but
-    /// waits behind them on the origin's link.
+    /// Extends the stall deadlines of all requests to the origin, which may send them one after the
+    /// other.
     pub fn origin_sent(&mut self, now: Instant) {
         let stall_deadline = now.after_millis(self.terms.stall_millis);
         let attempts = self
-            .open
+            .open_chunks
             .values_mut()
             .filter_map(|chunk| chunk.attempt.as_mut());
         for attempt in attempts.filter(|attempt| attempt.source == Source::Origin) {
@@ -282,95 +287,100 @@
         }
     }
 
-    /// Notes that a peer sent something on any question: it runs, and its link carries, so its other
-    /// questions are not stalled. One that it never mentions is given up all the same.
+    /// Extends the stall deadlines of all requests to `peer` after a response to any of them, up to
+    /// their request stall deadlines.
     pub fn peer_sent(&mut self, peer: ReplicaKey, now: Instant) {
         let stall_deadline = now.after_millis(self.terms.stall_millis);
         let attempts = self
-            .open
+            .open_chunks
             .values_mut()
             .filter_map(|chunk| chunk.attempt.as_mut());
         for attempt in attempts.filter(|attempt| attempt.source.replica() == Some(peer)) {
-            attempt.stall_deadline = stall_deadline.min(attempt.forgotten_deadline);
+            attempt.stall_deadline = stall_deadline.min(attempt.request_stall_deadline);
         }
     }
 
-    /// Notes the end of an attempt; a late one of a dropped attempt counts only where it brought
-    /// the chunk.
+    /// Records the result of an attempt. The result of a cancelled attempt is ignored unless the
+    /// chunk was received.
     pub fn end(&mut self, chunk: u32, attempt: u64, outcome: Outcome, now: Instant) {
         if outcome == Outcome::Held {
             self.note_held(chunk);
-            self.open.remove(&chunk);
-            self.end_pauses(now);
-            self.width = (self.width + WIDENING).min(WIDTHS * self.terms.window);
+            self.open_chunks.remove(&chunk);
+            self.reset_backoff(now);
+            self.max_peer_requests = (self.max_peer_requests + PEER_REQUESTS_INCREMENT)
+                .min(PEER_REQUESTS_PER_WINDOW_CHUNK * self.terms.window);
             return;
         }
-        let Some(under_way) = self.attempt_mut(chunk, attempt).copied() else {
+        let Some(current) = self.attempt_mut(chunk, attempt).copied() else {
             return;
         };
         if let (Outcome::Corrupt, Source::Replica(source) | Source::Holder(source)) =
-            (outcome, under_way.source)
+            (outcome, current.source)
         {
-            self.blamed.insert(source);
+            self.corrupt_replicas.insert(source);
         }
-        let Some(state) = self.open.get_mut(&chunk) else {
+        let Some(state) = self.open_chunks.get_mut(&chunk) else {
             return;
         };
         state.attempt = None;
         match outcome {
-            // The source is right but busy: it is asked again, not passed over.
+            // An overloaded source is retried, not skipped.
             Outcome::Refused(until) => {
-                state.not_before = until;
-                state.rounds = 0;
+                state.retry_at = until;
+                state.failed_rounds = 0;
             }
-            // The origin's bytes can be spoilt on the way; it is asked again after a pause.
-            Outcome::Corrupt if under_way.source == Source::Origin => {
-                state.not_before = now.after_millis(self.terms.pause_millis);
+            // Data from the origin may be corrupted in transit, so the origin is retried, not
+            // skipped.
+            Outcome::Corrupt if current.source == Source::Origin => {
+                state.retry_at = now.after_millis(self.terms.pause_millis);
             }
-            _ => state.passed += 1,
+            _ => state.failed_sources += 1,
         }
     }
 
-    /// Whoever gave a chunk may give others, too: what waits after rounds in vain is asked for again at once.
-    fn end_pauses(&mut self, now: Instant) {
-        let waiting = self.open.values_mut().filter(|chunk| chunk.rounds > 0);
-        for chunk in waiting {
-            chunk.rounds = 0;
-            chunk.not_before = chunk.not_before.min(now);
+    /// Retries all chunks without delay after any source provided one.
+    fn reset_backoff(&mut self, now: Instant) {
+        let delayed = self
+            .open_chunks
+            .values_mut()
+            .filter(|chunk| chunk.failed_rounds > 0);
+        for chunk in delayed {
+            chunk.failed_rounds = 0;
+            chunk.retry_at = chunk.retry_at.min(now);
         }
     }
 
     fn attempt_mut(&mut self, chunk: u32, number: u64) -> Option<&mut Attempt> {
-        let attempt = self.open.get_mut(&chunk)?.attempt.as_mut()?;
+        let attempt = self.open_chunks.get_mut(&chunk)?.attempt.as_mut()?;
         (attempt.number == number).then_some(attempt)
     }
 
-    fn open_window(&mut self) {
-        // What was wanted ahead of the window does not count, or the window would stand still.
-        while self.open.range(..self.next).count() < self.terms.window
-            && (self.next as usize) < self.held.len()
+    fn fill_window(&mut self) {
+        // Chunks requested ahead of the window don't count, or they would block it.
+        while self.open_chunks.range(..self.next_chunk).count() < self.terms.window
+            && (self.next_chunk as usize) < self.is_held.len()
         {
-            if !self.held[self.next as usize] {
-                self.open.entry(self.next).or_default();
+            if !self.is_held[self.next_chunk as usize] {
+                self.open_chunks.entry(self.next_chunk).or_default();
             }
-            self.next += 1;
+            self.next_chunk += 1;
         }
     }
 
-    fn drop_stalled(&mut self, chunk: u32, now: Instant, actions: &mut Vec<Action>) {
-        let Some(state) = self.open.get_mut(&chunk) else {
+    fn cancel_stalled(&mut self, chunk: u32, now: Instant, actions: &mut Vec<Action>) {
+        let Some(state) = self.open_chunks.get_mut(&chunk) else {
             return;
         };
         let Some(attempt) = state.attempt else { return };
-        if attempt.stall_deadline.has_passed(now) || attempt.last_deadline.has_passed(now) {
+        if attempt.stall_deadline.has_passed(now) || attempt.total_deadline.has_passed(now) {
             state.attempt = None;
-            state.passed += 1;
-            // Whatever comes over a narrow link has to wait behind what was asked for. An origin
-            // that is down says nothing of this link, nor does a peer that says that it waits.
+            state.failed_sources += 1;
+            // A stalled peer may be due to a congested link. The origin is exempt, as it may be
+            // down, and so are peers that report that they are waiting.
             let is_silent = attempt.stall_deadline.has_passed(now);
             if is_silent && attempt.source != Source::Origin {
-                let under_way = self.under_way();
-                self.width = (under_way / 2).max(LEAST_WIDTH);
+                let active_count = self.active_attempt_count();
+                self.max_peer_requests = (active_count / 2).max(MIN_PEER_REQUESTS);
             }
             let Attempt { number, source, .. } = attempt;
             actions.push(Action::Drop {
@@ -381,22 +391,28 @@
         }
     }
 
-    /// Attempts that may be under way at once.
+    /// Limit of concurrent requests to peers.
     pub const fn width(&self) -> usize {
-        self.width
+        self.max_peer_requests
     }
 
-    /// Starts with fewer attempts at once, as an earlier fetch over the same link ended.
-    pub fn start_with(&mut self, width: usize) {
-        self.width = width.clamp(LEAST_WIDTH, WIDTHS * self.terms.window);
+    /// Sets the limit of concurrent requests to peers, for example to that of an earlier fetch over
+    /// the same link.
+    pub fn start_with(&mut self, max_peer_requests: usize) {
+        self.max_peer_requests = max_peer_requests.clamp(
+            MIN_PEER_REQUESTS,
+            PEER_REQUESTS_PER_WINDOW_CHUNK * self.terms.window,
+        );
     }
 
-    /// Notes that a chunk took long on its way although its source gave it at once: the link is
-    /// narrow. Half of the attempts end, the latest chunks first, and are made again later.
+    /// Halves the concurrent requests to peers after a slow transfer indicated a congested link.
+    /// Cancels the requests for the highest chunks; they are sent again later.
     pub fn narrow(&mut self, actions: &mut Vec<Action>) {
-        self.width = (self.under_way() / 2).max(LEAST_WIDTH);
-        let mut surplus = self.under_way().saturating_sub(self.width);
-        for (chunk, state) in self.open.iter_mut().rev() {
+        self.max_peer_requests = (self.active_attempt_count() / 2).max(MIN_PEER_REQUESTS);
+        let mut surplus = self
+            .active_attempt_count()
+            .saturating_sub(self.max_peer_requests);
+        for (chunk, state) in self.open_chunks.iter_mut().rev() {
             if surplus == 0 {
                 return;
             }
@@ -411,77 +427,77 @@
         }
     }
 
-    fn under_way(&self) -> usize {
-        self.attempts_under_way().count()
+    fn active_attempt_count(&self) -> usize {
+        self.active_attempts().count()
     }
 
-    /// True where no more may be asked of peers. The origin gives turns of its own, and has to be
-    /// asked also while all peers wait for it.
-    fn is_full(&self) -> bool {
-        let attempts = self.attempts_under_way();
-        let at_peers = attempts.filter(|attempt| attempt.source != Source::Origin);
-        at_peers.count() >= self.width
+    /// True if the limit of requests to peers is reached. Requests to the origin have a limit of
+    /// their own, so that they don't wait behind requests to peers.
+    fn is_at_peer_limit(&self) -> bool {
+        let attempts = self.active_attempts();
+        let peer_attempts = attempts.filter(|attempt| attempt.source != Source::Origin);
+        peer_attempts.count() >= self.max_peer_requests
     }
 
-    fn at_origin(&self) -> usize {
-        let attempts = self.attempts_under_way();
-        let at_origin = attempts.filter(|attempt| attempt.source == Source::Origin);
-        at_origin.count()
+    fn origin_request_count(&self) -> usize {
+        let attempts = self.active_attempts();
+        let origin_attempts = attempts.filter(|attempt| attempt.source == Source::Origin);
+        origin_attempts.count()
     }
 
-    fn attempts_under_way(&self) -> impl Iterator<Item = Attempt> {
-        self.open.values().filter_map(|chunk| chunk.attempt)
+    fn active_attempts(&self) -> impl Iterator<Item = Attempt> {
+        self.open_chunks.values().filter_map(|chunk| chunk.attempt)
     }
 
-    fn ask(&mut self, chunk: u32, now: Instant, actions: &mut Vec<Action>) {
-        let is_full = self.is_full();
-        let at_origin = self.at_origin();
-        let Some(state) = self.open.get_mut(&chunk) else {
+    fn request_chunk(&mut self, chunk: u32, now: Instant, actions: &mut Vec<Action>) {
+        let is_at_peer_limit = self.is_at_peer_limit();
+        let origin_requests = self.origin_request_count();
+        let Some(state) = self.open_chunks.get_mut(&chunk) else {
             return;
         };
-        if state.attempt.is_some() || !state.not_before.has_passed(now) {
+        if state.attempt.is_some() || !state.retry_at.has_passed(now) {
             return;
         }
-        self.route.sources(chunk, &mut self.scratch);
-        let blamed = &self.blamed;
-        let trusted = |source: &&Source| match source {
-            Source::Replica(key) | Source::Holder(key) => !blamed.contains(key),
+        self.route.sources(chunk, &mut self.source_buffer);
+        let corrupt_replicas = &self.corrupt_replicas;
+        let is_eligible = |source: &&Source| match source {
+            Source::Replica(key) | Source::Holder(key) => !corrupt_replicas.contains(key),
             Source::Origin => true,
         };
         let Some(source) = self
-            .scratch
+            .source_buffer
             .iter()
-            .filter(trusted)
-            .nth(state.passed)
+            .filter(is_eligible)
+            .nth(state.failed_sources)
             .copied()
         else {
-            // Where nobody else is left, those that sent wrong bytes are asked again: what they sent may have been spoilt
-            // on its way, and a fetch without sources would wait for good.
-            let has_asked = state.passed > 0;
-            state.passed = 0;
-            let doublings = state.rounds.min(MOST_DOUBLINGS);
-            state.not_before = now.after_millis(self.terms.pause_millis << doublings);
-            state.rounds += 1;
-            if !has_asked {
-                self.blamed.clear();
+            // If only corrupt sources are left, they are tried again: their data may have been
+            // corrupted in transit.
+            let has_tried_source = state.failed_sources > 0;
+            state.failed_sources = 0;
+            let doublings = state.failed_rounds.min(MAX_BACKOFF_DOUBLINGS);
+            state.retry_at = now.after_millis(self.terms.pause_millis << doublings);
+            state.failed_rounds += 1;
+            if !has_tried_source {
+                self.corrupt_replicas.clear();
             }
             return;
         };
-        let is_held_up = match source {
-            Source::Origin => at_origin >= self.terms.origin_at_once,
-            Source::Replica(_) | Source::Holder(_) => is_full,
+        let is_limited = match source {
+            Source::Origin => origin_requests >= self.terms.origin_at_once,
+            Source::Replica(_) | Source::Holder(_) => is_at_peer_limit,
         };
-        if is_held_up {
+        if is_limited {
             return;
         }
-        self.attempts += 1;
-        let number = self.attempts;
+        self.last_attempt += 1;
+        let number = self.last_attempt;
         state.attempt = Some(Attempt {
             number,
             source,
             stall_deadline: now.after_millis(self.terms.stall_millis),
-            forgotten_deadline: self.terms.forgotten_at(now),
-            last_deadline: now.after_millis(self.terms.patience_millis),
+            request_stall_deadline: self.terms.request_stall_deadline(now),
+            total_deadline: now.after_millis(self.terms.patience_millis),
         });
         actions.push(Action::Ask {
             chunk,
--- a/crates/gingerpier_weights/src/lib.rs
+++ b/crates/gingerpier_weights/src/lib.rs
@@ -1,11 +1,11 @@
-//! Manifests, chunks and the plan by which they spread.
+//! Distribution of model weights: manifests, chunks and the sources of each chunk.
 //!
-//! A version of weights is a [`manifest::Manifest`]: its files as one run of bytes, cut into
-//! chunks that each have a digest. The [`plan::Plan`] says from whom each replica takes each
-//! chunk, with the same answer at every process and no talk. The [`fetch::Fetch`] state machine
-//! follows the plan at one replica, and takes the next source where one stalls or lies. Where some
-//! processes with wide links take a version in for the others, they are [`relay::Relays`], and a
-//! [`route::Route`] says how one process follows either.
+//! A version of weights is described by a [`manifest::Manifest`]: its files, split into chunks that
+//! each have a digest. The [`plan::Plan`] derives from whom each replica fetches each chunk, with the
+//! same result at every process and without communication. Alternatively, [`relay::Relays`] fetch the
+//! version for the other processes. A [`route::Route`] is the position of one process in either, and
+//! the [`fetch::Fetch`] state machine follows it, falling back to the next source when one stalls or
+//! sends corrupt data.
 //!
 //! ```
 //! use gingerpier_weights::manifest::Builder;
--- a/crates/gingerpier_weights/src/manifest.rs
+++ b/crates/gingerpier_weights/src/manifest.rs
@@ -1,7 +1,7 @@
-//! What a version consists of.
+//! Manifest of a version: its files and the digests of its chunks.
 //!
-//! The files of a version, in the order of their paths, are one run of bytes; the run is cut into
-//! chunks of one size, so that a chunk may hold the end of one file and the start of the next.
+//! The files of a version, ordered by path, are treated as one byte sequence and split into chunks
+//! of equal size, so a chunk may contain the end of one file and the start of the next.
 
 use {
     displaydoc::Display,
@@ -9,13 +9,13 @@
     minicbor::{Decode, Encode},
 };
 
-/// Name of the manifest's own file, beside the weights.
+/// Name of the manifest file, beside the weights.
 pub const FILE_NAME: &str = "gingerpier.manifest";
-/// Chunk size where none is asked for, in bytes.
+/// Default chunk size, in bytes.
 pub const DEFAULT_CHUNK_BYTES: u32 = 4 << 20;
-/// The largest chunk that a reader accepts, in bytes.
+/// Maximum accepted chunk size, in bytes.
 pub const MAX_CHUNK_BYTES: u32 = 64 << 20;
-/// The longest manifest that a reader accepts, in bytes.
+/// Maximum accepted manifest size, in bytes.
 pub const MAX_BYTES: usize = 64 << 20;
 const FORMAT: u32 = 1;
 
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct File {
-    /// Path below the version's folder, with `/` between its parts.
+    /// Path relative to the version's folder, separated by `/`.
     #[n(0)]
     pub path: String,
     /// Size in bytes.
@@ -35,13 +35,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Manifest {
-    /// Format of the manifest.
+    /// Format version of the manifest.
     #[n(0)]
     pub format: u32,
     /// Size of every chunk but the last, in bytes.
     #[n(1)]
     pub chunk_bytes: u32,
-    /// Files, in the order of their bytes.
+    /// Files, in the order of the byte sequence.
     #[n(2)]
     pub files: Vec<File>,
     /// Digest of each chunk.
@@ -49,30 +49,30 @@
     pub chunks: Vec<Digest>,
 }
 
-/// A manifest that can't be used.
+/// Error of decoding or validating a manifest.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Error {
     /// the manifest can't be decoded: {0}
     Decode(String),
-    /// the manifest's digest is {found}, and the version names {wanted}
+    /// the manifest's digest is {found}, but the version requires {wanted}
     Digest {
-        /// Digest named by the version.
+        /// Digest required by the version.
         wanted: Digest,
-        /// Digest of the bytes read.
+        /// Digest of the manifest read.
         found: Digest,
     },
-    /// manifest format {0} is not known here
+    /// manifest format {0} is not supported
     Format(u32),
     /// the chunk size {0} is not between 1 and 67108864 bytes
     ChunkBytes(u32),
-    /// the files make {wanted} chunks, and the manifest lists {found}
+    /// the file sizes require {wanted} chunks, but the manifest lists {found}
     Count {
-        /// Chunks that the sizes make.
+        /// Chunks required by the file sizes.
         wanted: u64,
         /// Chunks listed.
         found: u64,
     },
-    /// the path `{0}` leaves the version's folder
+    /// the path `{0}` is outside the version's folder
     Path(String),
 }
 
@@ -81,11 +81,11 @@
 /// Part of a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span {
-    /// Index of the file.
+    /// Index in [`Manifest::files`].
     pub file: usize,
     /// First byte within the file.
     pub offset: u64,
-    /// Number of bytes.
+    /// Length in bytes.
     pub length: u64,
 }
 
@@ -104,17 +104,17 @@
         rest.min(u64::from(self.chunk_bytes)) as u32
     }
 
-    /// Parts of files that make chunk `index`.
+    /// Parts of files that make up chunk `index`.
     pub fn spans(&self, index: u32) -> Vec<Span> {
         let mut start = u64::from(index) * u64::from(self.chunk_bytes);
-        let mut left = u64::from(self.chunk_length(index));
+        let mut remaining = u64::from(self.chunk_length(index));
         let mut spans = Vec::new();
-        for (file, held) in self.files.iter().enumerate() {
-            if start >= held.bytes {
-                start -= held.bytes;
+        for (file, entry) in self.files.iter().enumerate() {
+            if start >= entry.bytes {
+                start -= entry.bytes;
                 continue;
             }
-            let length = left.min(held.bytes - start);
+            let length = remaining.min(entry.bytes - start);
             if length == 0 {
                 break;
             }
@@ -123,26 +123,27 @@
                 offset: start,
                 length,
             });
-            left -= length;
+            remaining -= length;
             start = 0;
         }
         spans
     }
 
-    /// The manifest as bytes.
+    /// Encodes the manifest.
     ///
     /// # Panics
     ///
-    /// Never: writing to memory can't fail.
+    /// Never, because encoding to memory can't fail.
     pub fn to_bytes(&self) -> Vec<u8> {
-        minicbor::to_vec(self).unwrap_or_else(|error| unreachable!("writing to memory: {error}"))
+        minicbor::to_vec(self)
+            .unwrap_or_else(|error| unreachable!("encoding to memory failed: {error}"))
     }
 
-    /// Manifest from bytes whose digest must be `wanted`.
+    /// Decodes and validates a manifest with the digest `wanted`.
     ///
     /// # Errors
     ///
-    /// Where the bytes are not the manifest named, or not a sound one.
+    /// Fails if the digest differs or the manifest is invalid.
     pub fn from_bytes(bytes: &[u8], wanted: Digest) -> Result<Self, Error> {
         let found = Digest::of(bytes);
         if found != wanted {
@@ -151,11 +152,11 @@
         Self::from_unnamed_bytes(bytes)
     }
 
-    /// Manifest from bytes of any digest.
+    /// Decodes and validates a manifest of any digest.
     ///
     /// # Errors
     ///
-    /// Where the bytes are not a sound manifest.
+    /// Fails if the manifest is invalid.
     pub fn from_unnamed_bytes(bytes: &[u8]) -> Result<Self, Error> {
         let manifest: Self =
             minicbor::decode(bytes).map_err(|error| Error::Decode(error.to_string()))?;
@@ -175,30 +176,30 @@
         if wanted != found {
             return Err(Error::Count { wanted, found });
         }
-        match self.files.iter().find(|file| !is_inside(&file.path)) {
+        match self.files.iter().find(|file| !is_relative_path(&file.path)) {
             Some(file) => Err(Error::Path(file.path.clone())),
             None => Ok(()),
         }
     }
 }
 
-fn is_inside(path: &str) -> bool {
+fn is_relative_path(path: &str) -> bool {
     !path.is_empty()
         && path
             .split('/')
             .all(|part| !part.is_empty() && part != "." && part != "..")
 }
 
-/// Builds a manifest from a run of bytes of any length, holding one chunk's hash state.
+/// Builds a manifest incrementally; keeps the hash state of one chunk.
 #[derive(Debug)]
 pub struct Builder {
     manifest: Manifest,
     hasher: blake3::Hasher,
-    filled: u32,
+    filled_bytes: u32,
 }
 
 impl Builder {
-    /// Builder with chunks of `chunk_bytes`, brought within the bounds.
+    /// Creates a builder; `chunk_bytes` is clamped to the valid range.
     pub fn new(chunk_bytes: u32) -> Self {
         let chunk_bytes = chunk_bytes.clamp(1, MAX_CHUNK_BYTES);
         let manifest = Manifest {
@@ -210,7 +211,7 @@
         Self {
             manifest,
             hasher: blake3::Hasher::new(),
-            filled: 0,
+            filled_bytes: 0,
         }
     }
 
@@ -222,39 +223,40 @@
         });
     }
 
-    /// Adds bytes to the file started last.
+    /// Appends bytes to the current file.
     ///
     /// # Panics
     ///
-    /// Where no file was started.
+    /// If no file was started.
     pub fn update(&mut self, mut bytes: &[u8]) {
         let file = self.manifest.files.last_mut();
-        file.expect("a file is started before its bytes").bytes += bytes.len() as u64;
+        file.expect("a file must be started before bytes are appended")
+            .bytes += bytes.len() as u64;
         while !bytes.is_empty() {
-            let room = (self.manifest.chunk_bytes - self.filled) as usize;
-            let (taken, rest) = bytes.split_at(room.min(bytes.len()));
-            self.hasher.update(taken);
-            self.filled += taken.len() as u32;
+            let remaining = (self.manifest.chunk_bytes - self.filled_bytes) as usize;
+            let (head, rest) = bytes.split_at(remaining.min(bytes.len()));
+            self.hasher.update(head);
+            self.filled_bytes += head.len() as u32;
             bytes = rest;
-            if self.filled == self.manifest.chunk_bytes {
-                self.close_chunk();
+            if self.filled_bytes == self.manifest.chunk_bytes {
+                self.finish_chunk();
             }
         }
     }
 
-    /// The manifest of all bytes added.
+    /// Returns the manifest of all appended bytes.
     pub fn finish(mut self) -> Manifest {
-        if self.filled > 0 {
-            self.close_chunk();
+        if self.filled_bytes > 0 {
+            self.finish_chunk();
         }
         self.manifest
     }
 
-    fn close_chunk(&mut self) {
+    fn finish_chunk(&mut self) {
         self.manifest
             .chunks
             .push(Digest::from_bytes(*self.hasher.finalize().as_bytes()));
         self.hasher.reset();
-        self.filled = 0;
+        self.filled_bytes = 0;
     }
 }
--- a/crates/gingerpier_weights/src/plan.rs
+++ b/crates/gingerpier_weights/src/plan.rs
@@ -1,31 +1,31 @@
-//! From whom each replica takes each chunk.
+//! Distribution trees of a version: the sources of each chunk for each replica.
 //!
 //! Every zone has a fixed order of its replicas, the same at every process. For each chunk the
-//! order is rotated, and the rotated order is read as a heap: the first is the zone's root for
-//! that chunk, and the replica at position `p` takes the chunk from the one at `(p - 1) / fan_out`.
-//! The rotation advances by a stride near the golden section, so that chunks in flight together
-//! have their inner nodes spread over the whole zone and every replica uploads about one copy.
-//! Roots of the zones form a chain, region by region, so that each chunk crosses each zone and
-//! region link once; the first root of the chain takes it from the origin.
+//! order is rotated and read as a heap: the first replica is the zone's root, and the replica at
+//! position `p` fetches the chunk from the one at `(p - 1) / fan_out`. The rotation advances by a
+//! stride near the golden ratio, which spreads the inner nodes of concurrently fetched chunks over
+//! the zone, so that every replica uploads about one copy. The roots of the zones form a chain,
+//! region by region, so that each chunk crosses each zone and region link once; the first root of
+//! the chain fetches it from the origin.
 //!
-//! A fan-out of 0 is the other end of the trade: every replica takes every chunk from the origin.
+//! With a fan-out of 0, every replica fetches every chunk from the origin.
 //!
-//! Where a source fails, the next above it stands in, up to the origin; last, other replicas of
-//! the zone are asked for what they hold, which is how a zone that is cut off completes.
+//! If a source fails, the next one above it is used, up to the origin. Last come other replicas of
+//! the zone, from which a partitioned zone can complete the version.
 
 use gingerpier_base::order;
 
-/// Children of one replica in one chunk's tree, where the settings give none.
+/// Children of a replica in a chunk's tree, unless configured.
 pub const DEFAULT_FAN_OUT: u32 = 2;
 
-/// Replicas that are asked for what they hold once everyone above has failed.
-const LAST_RESORTS: usize = 4;
+/// Replicas of the zone that are tried after the origin.
+const MAX_FALLBACK_HOLDERS: usize = 4;
 
-/// Key of a replica within a plan.
+/// Index of a replica within a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaKey(pub u32);
 
-/// A backend server that is to hold the version.
+/// A backend server that fetches the version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Replica {
     /// Stable hash of the box's name.
@@ -36,19 +36,19 @@
     pub zone: u64,
 }
 
-/// Where a chunk can be had.
+/// Source of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Source {
-    /// A replica that has the chunk or will have it.
+    /// Replica that has the chunk or is fetching it; the request may wait for it.
     Replica(ReplicaKey),
-    /// A replica that is asked only for what it holds now.
+    /// Replica that responds at once, with the chunk or without.
     Holder(ReplicaKey),
     /// Origin of the weights.
     Origin,
 }
 
 impl Source {
-    /// The replica that it is, if any.
+    /// Key of the replica; `None` for the origin.
     pub const fn replica(self) -> Option<ReplicaKey> {
         match self {
             Self::Replica(key) | Self::Holder(key) => Some(key),
@@ -60,36 +60,36 @@
 #[derive(Debug, Clone)]
 struct ZoneGroup {
     region: u64,
-    /// Members in the zone's order.
+    /// Replicas in the zone's order.
     members: Vec<ReplicaKey>,
     stride: usize,
-    /// Zones of the plan.
+    /// Number of zones in the plan.
     zone_count: usize,
 }
 
-/// Trees of all chunks of one version over its replicas.
+/// Trees of all chunks of one version.
 #[derive(Debug, Clone)]
 pub struct Plan {
     fan_out: usize,
     zones: Vec<ZoneGroup>,
-    /// Zone and position of each replica, by key.
-    places: Vec<Place>,
+    /// Position of each replica, indexed by key.
+    positions: Vec<Position>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct Position {
     zone: usize,
     index: usize,
 }
 
 impl Plan {
-    /// Plan for the version with `subject` as its hash over `replicas`, whose keys are their
-    /// places in the slice.
-    pub fn new(subject: u64, replicas: &[Replica], fan_out: u32) -> Self {
+    /// Creates the plan of the version with hash `subject`; a replica's key is its index in
+    /// `replicas`.
+    pub fn new(version_hash: u64, replicas: &[Replica], fan_out: u32) -> Self {
         let mut keys: Vec<usize> = (0..replicas.len()).collect();
         let rank = |key: &usize| {
             let replica = &replicas[*key];
-            let score = order::score(subject, replica.identity);
+            let score = order::score(version_hash, replica.identity);
             (
                 replica.region,
                 replica.zone,
@@ -99,7 +99,7 @@
         };
         keys.sort_by_key(rank);
         let mut zones: Vec<ZoneGroup> = Vec::new();
-        let mut places = vec![Place { zone: 0, index: 0 }; replicas.len()];
+        let mut positions = vec![Position { zone: 0, index: 0 }; replicas.len()];
         let mut last_zone = None;
         for key in keys {
             let replica = &replicas[key];
@@ -113,7 +113,7 @@
                 });
             }
             let zone = zones.len() - 1;
-            places[key] = Place {
+            positions[key] = Position {
                 zone,
                 index: zones[zone].members.len(),
             };
@@ -127,67 +127,69 @@
         Self {
             fan_out: fan_out as usize,
             zones,
-            places,
+            positions,
         }
     }
 
     /// Number of replicas.
     pub fn replica_count(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Writes the sources of `chunk` for `replica` into `sources`, best first.
+    /// Replaces `sources` by the sources of `chunk` for `replica`, best first.
     pub fn sources(&self, replica: ReplicaKey, chunk: u32, sources: &mut Vec<Source>) {
         sources.clear();
         if self.fan_out == 0 {
             sources.push(Source::Origin);
             return;
         }
-        let place = self.places[replica.0 as usize];
-        self.climb_zone(place, chunk, sources);
-        self.climb_chain(place.zone, chunk, sources);
+        let position = self.positions[replica.0 as usize];
+        self.push_zone_ancestors(position, chunk, sources);
+        self.push_upstream_roots(position.zone, chunk, sources);
         sources.push(Source::Origin);
-        self.last_resorts(place, replica, chunk, sources);
+        self.push_fallback_holders(position, replica, chunk, sources);
     }
 
-    fn climb_zone(&self, place: Place, chunk: u32, sources: &mut Vec<Source>) {
-        let zone = &self.zones[place.zone];
-        let mut position = zone.position(place.index, chunk);
-        while position > 0 {
-            position = (position - 1) / self.fan_out;
-            sources.push(Source::Replica(zone.at(position, chunk)));
+    fn push_zone_ancestors(&self, position: Position, chunk: u32, sources: &mut Vec<Source>) {
+        let zone = &self.zones[position.zone];
+        let mut heap_index = zone.heap_index(position.index, chunk);
+        while heap_index > 0 {
+            heap_index = (heap_index - 1) / self.fan_out;
+            sources.push(Source::Replica(zone.replica_at(heap_index, chunk)));
         }
     }
 
-    fn climb_chain(&self, zone: usize, chunk: u32, sources: &mut Vec<Source>) {
+    fn push_upstream_roots(&self, zone: usize, chunk: u32, sources: &mut Vec<Source>) {
         let chain = self.chain(chunk);
-        let link = chain
+        let chain_index = chain
             .iter()
             .position(|other| *other == zone)
             .unwrap_or_default();
-        for zone in chain[..link].iter().rev() {
-            sources.push(Source::Replica(self.zones[*zone].at(0, chunk)));
+        for zone in chain[..chain_index].iter().rev() {
+            sources.push(Source::Replica(self.zones[*zone].replica_at(0, chunk)));
         }
     }
 
-    fn last_resorts(
+    fn push_fallback_holders(
         &self,
-        place: Place,
+        position: Position,
         replica: ReplicaKey,
         chunk: u32,
         sources: &mut Vec<Source>,
     ) {
-        let zone = &self.zones[place.zone];
-        let next = (1..zone.members.len()).map(|step| {
-            let index = (place.index + step * zone.stride + chunk as usize) % zone.members.len();
+        let zone = &self.zones[position.zone];
+        let candidates = (1..zone.members.len()).map(|step| {
+            let index = (position.index + step * zone.stride + chunk as usize) % zone.members.len();
             zone.members[index]
         });
-        let others = next.filter(|other| *other != replica).take(LAST_RESORTS);
+        let others = candidates
+            .filter(|other| *other != replica)
+            .take(MAX_FALLBACK_HOLDERS);
         sources.extend(others.map(Source::Holder));
     }
 
-    /// Zones in the order in which their roots pass `chunk` on: regions rotated, and zones
-    /// rotated within each region.
+    /// Zones in the order in which their roots forward `chunk`: the regions are rotated, and the
+    /// zones within each region.
     fn chain(&self, chunk: u32) -> Vec<usize> {
         let mut regions: Vec<Vec<usize>> = Vec::new();
         for (index, zone) in self.zones.iter().enumerate() {
@@ -199,38 +201,38 @@
         let count = regions.len();
         regions.rotate_left(chunk as usize % count);
         for region in &mut regions {
-            let turn = chunk as usize / count % region.len();
-            region.rotate_left(turn);
+            let offset = chunk as usize / count % region.len();
+            region.rotate_left(offset);
         }
         regions.concat()
     }
 }
 
 impl ZoneGroup {
-    /// How far the order is rotated for `chunk`. The chunks that enter the system in one zone are
-    /// every so many, one for each zone: they too have to go round all members.
+    /// Rotation of the zone's order for `chunk`. Chunks that enter in the same zone are
+    /// `zone_count` apart, and their roots have to cycle through all members too.
     fn rotation(&self, chunk: u32) -> usize {
         let count = self.members.len();
-        let round = chunk as usize / self.zone_count;
-        let turn = chunk as usize % self.zone_count;
-        let start = turn * count.div_ceil(self.zone_count);
-        (round + start) * self.stride % count
+        let cycle = chunk as usize / self.zone_count;
+        let entry_zone = chunk as usize % self.zone_count;
+        let zone_start = entry_zone * count.div_ceil(self.zone_count);
+        (cycle + zone_start) * self.stride % count
     }
 
-    fn position(&self, index: usize, chunk: u32) -> usize {
+    fn heap_index(&self, index: usize, chunk: u32) -> usize {
         (index + self.members.len() - self.rotation(chunk)) % self.members.len()
     }
 
-    fn at(&self, position: usize, chunk: u32) -> ReplicaKey {
-        self.members[(position + self.rotation(chunk)) % self.members.len()]
+    fn replica_at(&self, heap_index: usize, chunk: u32) -> ReplicaKey {
+        self.members[(heap_index + self.rotation(chunk)) % self.members.len()]
     }
 }
 
-/// A step near the golden section of `count` that reaches every place.
+/// Stride near the golden ratio of `count` and coprime to it, so that it visits all members.
 fn stride(count: usize) -> usize {
-    const GOLDEN: f64 = 0.618_033_988_749_895;
-    let near = ((count as f64 * GOLDEN) as usize).max(1);
-    (near..count.max(2))
+    const INVERSE_GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+    let start = ((count as f64 * INVERSE_GOLDEN_RATIO) as usize).max(1);
+    (start..count.max(2))
         .find(|step| gcd(*step, count) == 1)
         .unwrap_or(1)
 }
--- a/crates/gingerpier_weights/src/relay.rs
+++ b/crates/gingerpier_weights/src/relay.rs
@@ -1,19 +1,19 @@
-//! Processes that take a version in for others, and pass it on.
+//! Distribution of a version by relays, processes that fetch it for the others of their zone.
 //!
-//! Relays come and go while a version is on its way, and each process learns of it at another
-//! time. So everything here is a rendezvous order: who ranks above whom for a chunk depends on
-//! the two alone, never on who else is known. Processes with different views never wait for each
-//! other in a circle, and a relay more or less moves only its own share of the chunks.
+//! Relays join and leave during a distribution, and processes learn of them at different times. All
+//! orders are therefore rendezvous orders: whether one relay ranks above another for a chunk
+//! depends on these two only. Processes with different views never wait for each other in a cycle,
+//! and adding or removing a relay affects only its own share of the chunks.
 //!
-//! Each chunk ranks the regions, the zones of a region and the relays of a zone. The first relay
-//! of a zone takes the chunk from the first relay of the zone ranked above its own, so that each
-//! chunk crosses each zone and region link once; the first of all takes it from the origin.
+//! Regions, the zones of a region and the relays of a zone are ranked for each chunk. The first
+//! relay of a zone fetches the chunk from the first relay of the zone that ranks next above its
+//! own, so each chunk crosses each zone and region link once; the first relay of all fetches it
+//! from the origin.
 //!
-//! The origin takes few connections, and zones may have many relays. So each relay has a level by its
-//! own hash, and ranks above those of lower ones. The relays of the highest level of a zone, its heads,
-//! are few however many relays there are; only they take chunks from other zones and the origin. Each
-//! of the others takes a chunk from one of those that rank next above it, and the first of them from a
-//! head: heads give each chunk once to their zone and once to the next, and the others about once.
+//! A zone may have many more relays than the origin has connections, so each relay gets a random
+//! level and ranks above those of lower levels. Only the relays of a zone's highest level, its
+//! heads, fetch chunks from other zones and the origin; there are few of them in a zone of any
+//! size. Every other relay fetches a chunk from one of the relays that rank next above it.
 
 use {
     crate::plan::{Replica, ReplicaKey, Source},
@@ -21,32 +21,32 @@
     std::cmp::Reverse,
 };
 
-/// Bits of a relay's hash for each level: one relay in four is of the first level or above, one in 16
-/// of the second. So zones of two or three mostly have relays of one level, which all rank alike, and
-/// larger ones have one to five heads.
-const BITS_A_LEVEL: u32 = 2;
+/// Hash bits per level: with 2, a quarter of the relays are at level 1 or above, and a sixteenth at
+/// level 2 or above.
+const BITS_PER_LEVEL: u32 = 2;
 
-/// Relays next above one of which it takes a chunk from one: who ranks first gives each chunk about
-/// twice, and a chunk passes every second relay.
-const NEXT_ABOVE: usize = 3;
+/// Number of relays ranked next above a relay from which its parent for a chunk is selected; bounds
+/// the copies that one relay sends.
+const PARENT_CANDIDATES: usize = 3;
 
-/// Least relays of the lowest level for those that are no relays to leave the others out.
-const LEAST_LOWEST: usize = 3;
+/// Minimum number of level-0 relays in a zone for processes that aren't relays to prefer them over
+/// the others.
+const MIN_LOWEST_LEVEL_RELAYS: usize = 3;
 
-/// Relays that may all ask the origin for a manifest: a third of the connections of a small one.
-const FEW: usize = 16;
+/// Maximum number of relays of which each may request the manifest from the origin.
+const MAX_RELAYS_AT_ORIGIN: usize = 16;
 
 /// Relays of one version.
 #[derive(Debug, Clone, Default)]
 pub struct Relays {
-    subject: u64,
+    version_hash: u64,
     relays: Vec<Relay>,
     zones: Vec<Zone>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Relay {
-    place: Replica,
+    replica: Replica,
     level: u32,
 }
 
@@ -61,110 +61,111 @@
 type ZoneRank = (u64, u64, u64, u64);
 
 impl Relays {
-    /// Relays of the version with `subject` as its hash; their keys are their places in `relays`.
-    pub fn new(subject: u64, relays: Vec<Replica>) -> Self {
+    /// Creates the relays of the version with hash `subject`; a relay's key is its index in
+    /// `relays`.
+    pub fn new(version_hash: u64, relays: Vec<Replica>) -> Self {
         let mut zones: Vec<Zone> = Vec::new();
         for (index, relay) in relays.iter().enumerate() {
             let key = ReplicaKey(index as u32);
-            match zones.iter_mut().find(|known| known.zone == relay.zone) {
-                Some(known) => known.members.push(key),
+            match zones.iter_mut().find(|group| group.zone == relay.zone) {
+                Some(group) => group.members.push(key),
                 None => zones.push(Zone {
                     zone: relay.zone,
                     members: vec![key],
                 }),
             }
         }
-        let level = |place: &Replica| {
-            let draw = order::score(order::mix(subject), place.identity);
-            draw.trailing_zeros() / BITS_A_LEVEL
+        let level = |replica: &Replica| {
+            let hash = order::score(order::mix(version_hash), replica.identity);
+            hash.trailing_zeros() / BITS_PER_LEVEL
         };
-        let relay = |place: Replica| Relay {
-            level: level(&place),
-            place,
+        let relay = |replica: Replica| Relay {
+            level: level(&replica),
+            replica,
         };
         Self {
-            subject,
+            version_hash,
             relays: relays.into_iter().map(relay).collect(),
             zones,
         }
     }
 
-    /// Writes the sources of `chunk` for the relay `own` into `sources`, best first.
-    pub fn sources_of_relay(&self, own: ReplicaKey, chunk: u32, sources: &mut Vec<Source>) {
+    /// Replaces `sources` by the sources of `chunk` for the relay `own`, best first.
+    pub fn relay_sources(&self, own_key: ReplicaKey, chunk: u32, sources: &mut Vec<Source>) {
         sources.clear();
-        let place = self.place(own);
-        let members = self.members(place.zone, chunk);
-        let rank = members.iter().position(|member| *member == own);
-        let (above, below) = members.split_at(rank.unwrap_or_default());
-        let head_count = self.head_count(&members).min(above.len());
-        let (heads, others) = above.split_at(head_count);
-        let (far, next) = others.split_at(others.len().saturating_sub(NEXT_ABOVE));
-        let mut next = next.to_vec();
-        let subject = self.subject ^ order::mix(place.identity ^ u64::from(chunk));
-        order::sort_by_score(subject, &mut next, |key| self.identity(*key));
-        // Where those fail, the nearest to the origin come next.
-        let others = next.iter().chain(far);
+        let replica = self.replica(own_key);
+        let members = self.members(replica.zone, chunk);
+        let position = members.iter().position(|member| *member == own_key);
+        let (higher, lower) = members.split_at(position.unwrap_or_default());
+        let head_count = self.head_count(&members).min(higher.len());
+        let (heads, others) = higher.split_at(head_count);
+        let (distant, candidates) = others.split_at(others.len().saturating_sub(PARENT_CANDIDATES));
+        let mut candidates = candidates.to_vec();
+        let seed = self.version_hash ^ order::mix(replica.identity ^ u64::from(chunk));
+        order::sort_by_score(seed, &mut candidates, |key| self.identity(*key));
+        // Fallbacks are ordered by distance from the origin, shortest first.
+        let others = candidates.iter().chain(distant);
         sources.extend(others.chain(heads).copied().map(Source::Replica));
-        let own_rank = self.zone_rank(&place, chunk);
-        let mut firsts = self.firsts(chunk);
-        firsts.retain(|first| self.rank_of(*first, chunk) > own_rank);
-        // The nearest zone above comes first.
-        sources.extend(firsts.into_iter().rev().map(Source::Replica));
+        let own_rank = self.zone_rank(&replica, chunk);
+        let mut first_relays = self.first_relays(chunk);
+        first_relays.retain(|first| self.zone_rank_of(*first, chunk) > own_rank);
+        // The zone that ranks next above the own zone comes first.
+        sources.extend(first_relays.into_iter().rev().map(Source::Replica));
         sources.push(Source::Origin);
-        let others = below.iter().filter(|member| **member != own);
+        let others = lower.iter().filter(|member| **member != own_key);
         sources.extend(others.copied().map(Source::Holder));
     }
 
-    /// Writes the sources of `chunk` for a process of `zone` that is no relay into `sources`: the
-    /// relays of its zone, and then the first one of each other zone.
-    pub fn sources_of_leaf(&self, zone: u64, chunk: u32, sources: &mut Vec<Source>) {
+    /// Replaces `sources` by the sources of `chunk` for a process of `zone` that is not a relay:
+    /// the relays of its zone, then the first relay of each other zone.
+    pub fn leaf_sources(&self, zone: u64, chunk: u32, sources: &mut Vec<Source>) {
         sources.clear();
         let mut members = self.members(zone, chunk);
-        let is_raised = |key: &ReplicaKey| self.level(*key) > 0;
-        let raised = members.iter().take_while(|key| is_raised(key)).count();
-        if members.len() - raised >= LEAST_LOWEST {
-            members.rotate_left(raised);
+        let is_upper_level = |key: &ReplicaKey| self.level(*key) > 0;
+        let upper_count = members.iter().take_while(|key| is_upper_level(key)).count();
+        if members.len() - upper_count >= MIN_LOWEST_LEVEL_RELAYS {
+            members.rotate_left(upper_count);
         } else {
             members.sort_by_key(|key| Reverse(self.score_of(*key, chunk)));
         }
         sources.extend(members.into_iter().map(Source::Replica));
-        let firsts = self.firsts(chunk).into_iter();
-        let others = firsts.filter(|first| self.place(*first).zone != zone);
+        let first_relays = self.first_relays(chunk).into_iter();
+        let others = first_relays.filter(|first| self.replica(*first).zone != zone);
         sources.extend(others.map(Source::Replica));
     }
 
-    /// True where there are few relays in all.
-    pub const fn are_few(&self) -> bool {
-        self.relays.len() <= FEW
+    /// True if each relay may request the manifest from the origin.
+    pub const fn may_all_use_origin(&self) -> bool {
+        self.relays.len() <= MAX_RELAYS_AT_ORIGIN
     }
 
-    /// True where `own` may be the first of its zone to take a chunk.
-    pub fn may_be_first(&self, own: ReplicaKey) -> bool {
-        let members = self.members(self.place(own).zone, 0);
+    /// True if `own` is a head of its zone.
+    pub fn is_head(&self, own_key: ReplicaKey) -> bool {
+        let members = self.members(self.replica(own_key).zone, 0);
         let heads = &members[..self.head_count(&members)];
-        heads.contains(&own)
+        heads.contains(&own_key)
     }
 
-    /// Heads among the `members` of a zone; they come first.
+    /// Number of heads in `members`, which are in rank order.
     fn head_count(&self, members: &[ReplicaKey]) -> usize {
-        let highest = members.first().map(|first| self.level(*first));
+        let top_level = members.first().map(|first| self.level(*first));
         let heads = members
             .iter()
-            .take_while(|key| Some(self.level(**key)) == highest);
+            .take_while(|key| Some(self.level(**key)) == top_level);
         heads.count()
     }
 
-    /// Level of a relay, whoever else there is.
+    /// Level of a relay; independent of the other relays.
     fn level(&self, key: ReplicaKey) -> u32 {
         self.relays[key.0 as usize].level
     }
 
-    fn place(&self, key: ReplicaKey) -> Replica {
-        self.relays[key.0 as usize].place
+    fn replica(&self, key: ReplicaKey) -> Replica {
+        self.relays[key.0 as usize].replica
     }
 
     fn identity(&self, key: ReplicaKey) -> u64 {
-        self.place(key).identity
+        self.replica(key).identity
     }
 
     /// Rank of a relay within its zone for a chunk; the highest comes first.
@@ -172,10 +173,10 @@
         (self.level(key), self.score_of(key, chunk))
     }
 
-    /// Relays of `zone`, by level, and the first for `chunk` first.
+    /// Relays of `zone` in rank order for `chunk`.
     fn members(&self, zone: u64, chunk: u32) -> Vec<ReplicaKey> {
-        let known = self.zones.iter().find(|known| known.zone == zone);
-        let mut members = known.map_or_else(Vec::new, |known| known.members.clone());
+        let group = self.zones.iter().find(|group| group.zone == zone);
+        let mut members = group.map_or_else(Vec::new, |group| group.members.clone());
         members.sort_by_cached_key(|key| Reverse(self.rank(*key, chunk)));
         members
     }
@@ -184,19 +185,19 @@
         self.score(chunk, self.identity(key))
     }
 
-    /// First relay of each zone, in the order in which the zones pass `chunk` on.
-    fn firsts(&self, chunk: u32) -> Vec<ReplicaKey> {
+    /// First relay of each zone, in the zones' rank order for `chunk`.
+    fn first_relays(&self, chunk: u32) -> Vec<ReplicaKey> {
         let first = |zone: &Zone| {
             let members = zone.members.iter().copied();
             members.max_by_key(|key| self.rank(*key, chunk))
         };
-        let mut firsts: Vec<ReplicaKey> = self.zones.iter().filter_map(first).collect();
-        firsts.sort_by_cached_key(|first| Reverse(self.rank_of(*first, chunk)));
-        firsts
+        let mut first_relays: Vec<ReplicaKey> = self.zones.iter().filter_map(first).collect();
+        first_relays.sort_by_cached_key(|first| Reverse(self.zone_rank_of(*first, chunk)));
+        first_relays
     }
 
-    fn rank_of(&self, relay: ReplicaKey, chunk: u32) -> ZoneRank {
-        self.zone_rank(&self.place(relay), chunk)
+    fn zone_rank_of(&self, relay: ReplicaKey, chunk: u32) -> ZoneRank {
+        self.zone_rank(&self.replica(relay), chunk)
     }
 
     fn zone_rank(&self, relay: &Replica, chunk: u32) -> ZoneRank {
@@ -206,6 +207,6 @@
     }
 
     fn score(&self, chunk: u32, member: u64) -> u64 {
-        order::score(self.subject ^ order::mix(u64::from(chunk)), member)
+        order::score(self.version_hash ^ order::mix(u64::from(chunk)), member)
     }
 }
--- a/crates/gingerpier_weights/src/room.rs
+++ b/crates/gingerpier_weights/src/room.rs
@@ -1,18 +1,18 @@
-//! Room for chunks in memory: boxes have no disks.
+//! Memory reservations for chunks, which are kept in memory only.
 //!
-//! A version's room is reserved whole before anything moves, so that a version too large is
-//! refused at once, and what engines are assigned is never pushed out by something newer.
+//! The memory of a whole version is reserved before any chunk is fetched, so a version that doesn't
+//! fit is rejected at once. Versions assigned to engines are never evicted.
 
 use {displaydoc::Display, gingerpier_base::Digest, std::collections::BTreeMap};
 
-/// the version takes {needed} bytes and {free} of {budget} bytes are free; raise `chunk_memory` or assign less
+/// the version needs {needed} bytes, but only {free} of {budget} bytes are available; raise `chunk_memory` or assign fewer versions
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub struct Full {
-    /// Bytes asked for.
+    /// Requested bytes.
     pub needed: u64,
-    /// Bytes that can be had.
+    /// Bytes not reserved by assigned versions.
     pub free: u64,
-    /// Bytes in all.
+    /// Configured bytes in total.
     pub budget: u64,
 }
 
@@ -21,52 +21,58 @@
 #[derive(Debug, Clone, Copy)]
 struct Reservation {
     bytes: u64,
-    /// Assigned versions are never evicted.
-    assigned: bool,
-    /// Order of use; the lowest is evicted first.
-    used: u64,
+    /// True while an engine is assigned the version, which prevents eviction.
+    is_assigned: bool,
+    /// Logical time of the last use; the lowest is evicted first.
+    last_use: u64,
 }
 
-/// Reservations of versions, by the digests of their manifests.
+/// Memory reserved for each version, keyed by the digest of its manifest.
 #[derive(Debug)]
 pub struct Room {
     budget: u64,
     reservations: BTreeMap<Digest, Reservation>,
-    uses: u64,
+    use_count: u64,
 }
 
 impl Room {
-    /// Room of `budget` bytes.
+    /// Creates an empty reservation table of `budget` bytes.
     pub const fn new(budget: u64) -> Self {
         Self {
             budget,
             reservations: BTreeMap::new(),
-            uses: 0,
+            use_count: 0,
         }
     }
 
-    /// Bytes reserved.
+    /// Reserved bytes in total.
     pub fn reserved(&self) -> u64 {
-        self.reservations.values().map(|held| held.bytes).sum()
+        self.reservations
+            .values()
+            .map(|reservation| reservation.bytes)
+            .sum()
     }
 
-    /// Reserves room for an assigned version, and names the versions to drop for it.
+    /// Reserves memory for an assigned version, and returns the versions evicted for it.
     ///
     /// # Errors
     ///
-    /// Where what is assigned leaves too little; nothing has changed then.
+    /// Fails without any change if the memory not reserved by assigned versions is too small.
     pub fn reserve(&mut self, version: Digest, bytes: u64) -> Result<Vec<Digest>, Full> {
-        self.uses += 1;
-        let used = self.uses;
-        if let Some(held) = self.reservations.get_mut(&version) {
-            held.assigned = true;
-            held.used = used;
+        self.use_count += 1;
+        let last_use = self.use_count;
+        if let Some(reservation) = self.reservations.get_mut(&version) {
+            reservation.is_assigned = true;
+            reservation.last_use = last_use;
             return Ok(Vec::new());
         }
-        let assigned = self.reservations.values().filter(|held| held.assigned);
+        let assigned = self
+            .reservations
+            .values()
+            .filter(|reservation| reservation.is_assigned);
         let free = self
             .budget
-            .saturating_sub(assigned.map(|held| held.bytes).sum());
+            .saturating_sub(assigned.map(|reservation| reservation.bytes).sum());
         if bytes > free {
             return Err(Full {
                 needed: bytes,
@@ -74,38 +80,44 @@
                 budget: self.budget,
             });
         }
-        let mut dropped = Vec::new();
+        let mut evicted = Vec::new();
         while self.reserved() + bytes > self.budget {
-            let idle = self.reservations.iter().filter(|(_, held)| !held.assigned);
-            let Some(oldest) = idle.min_by_key(|(_, held)| held.used).map(|(key, _)| *key) else {
+            let unassigned = self
+                .reservations
+                .iter()
+                .filter(|(_, reservation)| !reservation.is_assigned);
+            let Some(oldest) = unassigned
+                .min_by_key(|(_, reservation)| reservation.last_use)
+                .map(|(key, _)| *key)
+            else {
                 break;
             };
             self.reservations.remove(&oldest);
-            dropped.push(oldest);
+            evicted.push(oldest);
         }
         self.reservations.insert(
             version,
             Reservation {
                 bytes,
-                assigned: true,
-                used,
+                is_assigned: true,
+                last_use,
             },
         );
-        Ok(dropped)
+        Ok(evicted)
     }
 
-    /// Notes that no engine here is assigned the version; it stays while there is room.
+    /// Marks a version as not assigned to any engine, which allows its eviction.
     pub fn release(&mut self, version: Digest) {
-        if let Some(held) = self.reservations.get_mut(&version) {
-            held.assigned = false;
+        if let Some(reservation) = self.reservations.get_mut(&version) {
+            reservation.is_assigned = false;
         }
     }
 
-    /// Versions that no engine here is assigned.
+    /// Versions that are not assigned to any engine.
     pub fn idle(&self) -> impl Iterator<Item = Digest> {
         self.reservations
             .iter()
-            .filter(|(_, held)| !held.assigned)
+            .filter(|(_, reservation)| !reservation.is_assigned)
             .map(|(key, _)| *key)
     }
 }
--- a/crates/gingerpier_weights/src/route.rs
+++ b/crates/gingerpier_weights/src/route.rs
@@ -1,4 +1,4 @@
-//! From whom one process takes each chunk of a version.
+//! Order in which a process tries the sources of each chunk.
 
 use {
     crate::{
@@ -8,78 +8,78 @@
     gingerpier_base::order,
 };
 
-/// Holders that are asked for one chunk before the origin: one may have ended. Other counts were not
-/// played.
-const HOLDERS_ASKED: u64 = 2;
+/// Holders tried for each chunk before the origin; more than one, as some may have ended.
+const MAX_HOLDERS_BEFORE_ORIGIN: u64 = 2;
 
-/// Processes of those that would be asked behind the origin which are asked before it, too, where holders are. The
-/// first of them are those that took chunks in while this process was not there. Other counts were not played.
-const DEPUTIES_ASKED: usize = 3;
+/// Sources ranked after the origin that are tried before it if there are holders: they fetched
+/// chunks while this process was not running.
+const MAX_DEPUTIES_BEFORE_ORIGIN: usize = 3;
 
-/// Processes that may hold chunks already, and are asked for them before the origin is. What left the origin once
-/// then stays to be had while it is down, and its link is left to what nobody holds.
+/// Processes that may already hold chunks. They are tried before the origin, which saves its
+/// bandwidth and works while it is down.
 #[derive(Debug, Clone, Default)]
 pub struct Holders(pub Vec<ReplicaKey>);
 
 impl Holders {
-    /// Puts those to ask for `chunk` before the origin among `sources`.
+    /// Inserts the holders to try for `chunk` before the origin in `sources`.
     fn insert(&self, chunk: u32, sources: &mut Vec<Source>) {
-        let Some(origin) = sources.iter().position(|source| *source == Source::Origin) else {
+        let Some(origin_index) = sources.iter().position(|source| *source == Source::Origin) else {
             return;
         };
         let count = self.0.len() as u64;
         if count == 0 {
             return;
         }
-        let first = order::mix(u64::from(chunk));
-        let asked = (0..HOLDERS_ASKED.min(count)).map(|step| {
-            let place = first.wrapping_add(step) % count;
-            Source::Holder(self.0[place as usize])
+        let start = order::mix(u64::from(chunk));
+        let holders = (0..MAX_HOLDERS_BEFORE_ORIGIN.min(count)).map(|step| {
+            let index = start.wrapping_add(step) % count;
+            Source::Holder(self.0[index as usize])
         });
-        let behind = sources.split_off(origin + 1);
-        sources.truncate(origin);
-        let (deputies, others) = behind.split_at(behind.len().min(DEPUTIES_ASKED));
+        let after_origin = sources.split_off(origin_index + 1);
+        sources.truncate(origin_index);
+        let (deputies, others) =
+            after_origin.split_at(after_origin.len().min(MAX_DEPUTIES_BEFORE_ORIGIN));
         sources.extend_from_slice(deputies);
-        sources.extend(asked);
+        sources.extend(holders);
         sources.push(Source::Origin);
         sources.extend_from_slice(others);
     }
 }
 
-/// From whom chunks are taken.
+/// Position of a process in the distribution of a version.
 #[derive(Debug, Clone)]
 pub enum Route {
-    /// As a replica of a plan's trees.
+    /// Replica in the trees of a plan.
     Tree {
-        /// Trees.
+        /// Trees of all chunks.
         plan: Plan,
-        /// This process.
+        /// Key of this process.
         own: ReplicaKey,
-        /// Who may hold chunks already.
+        /// Processes that may already hold chunks.
         holders: Holders,
     },
-    /// As a relay for others.
+    /// Relay, which fetches chunks for other processes.
     Relay {
-        /// Relays.
+        /// Relays of the version.
         relays: Relays,
-        /// This process.
+        /// Key of this process.
         own: ReplicaKey,
-        /// Who may hold chunks already.
+        /// Processes that may already hold chunks.
         holders: Holders,
     },
-    /// From relays, and then from others.
+    /// Process that fetches from relays first.
     Leaf {
-        /// Relays.
+        /// Relays of the version.
         relays: Relays,
-        /// Stable number of the own zone.
+        /// Stable hash of this process's zone.
         zone: u64,
-        /// Others, best first.
+        /// Sources to try after the relays, best first.
         rest: Vec<Source>,
     },
 }
 
 impl Route {
-    /// Writes the sources of `chunk` into `sources`, best first.
+    /// Replaces `sources` by the sources of `chunk`, best first.
     pub fn sources(&self, chunk: u32, sources: &mut Vec<Source>) {
         match self {
             Self::Tree { plan, own, holders } => {
@@ -91,34 +91,34 @@
                 own,
                 holders,
             } => {
-                relays.sources_of_relay(*own, chunk, sources);
+                relays.relay_sources(*own, chunk, sources);
                 holders.insert(chunk, sources);
             }
             Self::Leaf { relays, zone, rest } => {
-                relays.sources_of_leaf(*zone, chunk, sources);
+                relays.leaf_sources(*zone, chunk, sources);
                 sources.extend_from_slice(rest);
             }
         }
     }
 
-    /// True where this process may ask the origin for a manifest at once: it is among the first to take
-    /// chunks, or there are few relays.
+    /// True if this process may request the manifest from the origin without trying others first.
     pub fn is_near_origin(&self) -> bool {
         match self {
             Self::Tree { .. } => true,
-            Self::Relay { relays, own, .. } => relays.are_few() || relays.may_be_first(*own),
+            Self::Relay { relays, own, .. } => relays.may_all_use_origin() || relays.is_head(*own),
             Self::Leaf { .. } => false,
         }
     }
 
-    /// Chunks of the first `count` that this process is the first to take.
+    /// Chunks of the first `count` that this process is the first to fetch from the origin.
     pub fn entries(&self, count: u32) -> Vec<u32> {
         let mut sources = Vec::new();
-        let mut enters = |chunk: &u32| {
+        let mut is_entry = |chunk: &u32| {
             self.sources(*chunk, &mut sources);
-            let mut waits = sources.iter();
-            waits.find(|source| !matches!(source, Source::Holder(_))) == Some(&Source::Origin)
+            let mut sources_that_wait = sources.iter();
+            sources_that_wait.find(|source| !matches!(source, Source::Holder(_)))
+                == Some(&Source::Origin)
         };
-        (0..count).filter(|chunk| enters(chunk)).collect()
+        (0..count).filter(|chunk| is_entry(chunk)).collect()
     }
 }
--- a/crates/gingerpier_weights/tests/spreading.rs
+++ b/crates/gingerpier_weights/tests/spreading.rs
@@ -1,4 +1,5 @@
-//! Plans and fetches without I/O: even loads, one copy from the origin, sources that fail.
+//! Plans, fetches, manifests and memory reservations: balanced uploads, failing sources, congestion
+//! and backoff.
 
 use {
     gingerpier_base::{Digest, Instant, order},
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn each_chunk_is_read_from_the_origin_once_and_uploads_are_even() {
+fn chunk_is_fetched_from_origin_once_and_uploads_are_balanced() {
     const CHUNKS: u32 = 400;
     let plan = Plan::new(1, &replicas(4, 25), 2);
     let mut uploads = vec![0_u32; 100];
@@ -39,15 +40,15 @@
             match first_source(&plan, replica, chunk) {
                 Source::Origin => from_origin += 1,
                 Source::Replica(source) => uploads[source.0 as usize] += 1,
-                Source::Holder(_) => panic!("a last resort comes first"),
+                Source::Holder(_) => panic!("a holder must not be the first source"),
             }
         }
         assert_eq!(from_origin, 1);
     }
     let (least, most) = (uploads.iter().min(), uploads.iter().max());
     let mean = f64::from(CHUNKS) * 99.0 / 100.0;
-    let most = f64::from(*most.expect("there are some"));
-    let least = f64::from(*least.expect("there are some"));
+    let most = f64::from(*most.expect("uploads must not be empty"));
+    let least = f64::from(*least.expect("uploads must not be empty"));
     assert!(
         most < 1.1 * mean && least > 0.9 * mean,
         "{least} to {most}, mean {mean}"
@@ -55,23 +56,23 @@
 }
 
 #[test]
-fn following_sources_upwards_always_ends_at_the_origin() {
+fn first_sources_form_no_cycle_and_end_at_the_origin() {
     let plan = Plan::new(1, &replicas(3, 7), 2);
     for chunk in 0..50 {
         for replica in 0..21 {
-            let mut at = replica;
+            let mut current = replica;
             for _ in 0..21 {
-                match first_source(&plan, at, chunk) {
-                    Source::Replica(next) => at = next.0,
+                match first_source(&plan, current, chunk) {
+                    Source::Replica(next) => current = next.0,
                     _ => break,
                 }
             }
-            assert_eq!(first_source(&plan, at, chunk), Source::Origin);
+            assert_eq!(first_source(&plan, current, chunk), Source::Origin);
         }
     }
 }
 
-fn fetch(chunks: u32) -> Fetch {
+fn new_fetch(chunks: u32) -> Fetch {
     let plan = Plan::new(1, &replicas(1, 4), 2);
     let terms = Terms {
         window: 2,
@@ -81,59 +82,60 @@
     Fetch::new(terms, plan, ReplicaKey(3), chunks)
 }
 
-fn asks(fetch: &mut Fetch, now: Instant) -> Vec<Action> {
+fn poll_fetch(fetch: &mut Fetch, now: Instant) -> Vec<Action> {
     let mut actions = Vec::new();
     fetch.poll(now, &mut actions);
     actions
 }
 
 #[test]
-fn a_source_that_stalls_is_dropped_for_the_next() {
-    let mut fetch = fetch(1);
-    let [Action::Ask { source: first, .. }] = asks(&mut fetch, Instant::from_millis(0))[..] else {
-        panic!("not asked")
+fn stalled_source_is_replaced_by_the_next() {
+    let mut fetch = new_fetch(1);
+    let [Action::Ask { source: first, .. }] = poll_fetch(&mut fetch, Instant::from_millis(0))[..]
+    else {
+        panic!("expected a request")
     };
-    let later = asks(&mut fetch, Instant::from_millis(100));
-    let [Action::Drop { .. }, Action::Ask { source: second, .. }] = later[..] else {
-        panic!("{later:?}")
+    let actions = poll_fetch(&mut fetch, Instant::from_millis(100));
+    let [Action::Drop { .. }, Action::Ask { source: second, .. }] = actions[..] else {
+        panic!("{actions:?}")
     };
     assert_ne!(first, second);
 }
 
 #[test]
-fn time_in_which_the_process_did_not_run_counts_against_no_source() {
+fn deadlines_exclude_time_in_which_process_was_not_scheduled() {
     let at = Instant::from_millis;
-    let mut fetch = fetch(1);
-    asks(&mut fetch, at(0));
-    // A look was due at 50, and is taken at 950: 50 are left of the 100 that a stall may last.
+    let mut fetch = new_fetch(1);
+    poll_fetch(&mut fetch, at(0));
+    // The poll due at 50 runs at 950, which extends the deadline of 100 to 1,000.
     fetch.note_look(at(50), at(950));
-    assert_eq!(asks(&mut fetch, at(960)), []);
-    assert_eq!(asks(&mut fetch, at(999)), []);
-    let later = asks(&mut fetch, at(1_000));
-    let [Action::Drop { .. }, Action::Ask { .. }] = later[..] else {
-        panic!("{later:?}")
+    assert_eq!(poll_fetch(&mut fetch, at(960)), []);
+    assert_eq!(poll_fetch(&mut fetch, at(999)), []);
+    let actions = poll_fetch(&mut fetch, at(1_000));
+    let [Action::Drop { .. }, Action::Ask { .. }] = actions[..] else {
+        panic!("{actions:?}")
     };
 }
 
 #[test]
-fn looks_that_are_a_little_late_put_no_deadline_off() {
+fn slightly_late_poll_does_not_extend_deadlines() {
     let at = Instant::from_millis;
-    let mut fetch = fetch(1);
-    asks(&mut fetch, at(0));
+    let mut fetch = new_fetch(1);
+    poll_fetch(&mut fetch, at(0));
     fetch.note_look(at(40), at(90));
-    let later = asks(&mut fetch, at(100));
-    let [Action::Drop { .. }, Action::Ask { .. }] = later[..] else {
-        panic!("{later:?}")
+    let actions = poll_fetch(&mut fetch, at(100));
+    let [Action::Drop { .. }, Action::Ask { .. }] = actions[..] else {
+        panic!("{actions:?}")
     };
 }
 
 #[test]
-fn a_liar_is_not_asked_again() {
-    let mut fetch = fetch(40);
-    let mut liar = None;
+fn corrupt_source_is_not_used_again() {
+    let mut fetch = new_fetch(40);
+    let mut corrupt_source = None;
     for round in 0..200 {
         let now = Instant::from_millis(round);
-        for action in asks(&mut fetch, now) {
+        for action in poll_fetch(&mut fetch, now) {
             let Action::Ask {
                 chunk,
                 source,
@@ -142,54 +144,59 @@
             else {
                 continue;
             };
-            match (source, liar) {
+            match (source, corrupt_source) {
                 (Source::Replica(key) | Source::Holder(key), None) => {
-                    liar = Some(key);
+                    corrupt_source = Some(key);
                     fetch.end(chunk, attempt, Outcome::Corrupt, now);
                 }
-                (Source::Replica(key) | Source::Holder(key), Some(liar)) if key == liar => {
-                    panic!("the liar was asked again");
+                (Source::Replica(key) | Source::Holder(key), Some(corrupt_source))
+                    if key == corrupt_source =>
+                {
+                    panic!("the corrupt source was used again");
                 }
                 _ => fetch.end(chunk, attempt, Outcome::Held, now),
             }
         }
     }
-    assert!(fetch.is_complete() && liar.is_some());
+    assert!(fetch.is_complete() && corrupt_source.is_some());
 }
 
-/// A process that is no relay has no origin to turn to. Chunks of all its sources were spoilt once each, on their way;
-/// it asked nobody from then on, for as long as it knew the same sources.
+/// Without a retry, a fetch without an origin hangs once all of its sources have sent corrupt data.
 #[test]
-fn sources_that_each_sent_a_wrong_chunk_once_are_asked_again_where_nobody_else_is_left() {
+fn corrupt_sources_are_retried_when_no_others_are_left() {
     let relays = Relays::new(1, replicas(1, 2));
     let zone = replicas(1, 2)[0].zone;
     let rest = Vec::new();
     let route = Route::Leaf { relays, zone, rest };
     let mut fetch = Fetch::along(Terms::default(), route, 1);
     let mut now = Instant::from_millis(1_000);
-    let mut spoilt = 0;
+    let mut response_count = 0;
     while !fetch.is_complete() {
-        for action in asks(&mut fetch, now) {
+        for action in poll_fetch(&mut fetch, now) {
             if let Action::Ask { chunk, attempt, .. } = action {
-                let outcome = match spoilt < 2 {
+                let outcome = match response_count < 2 {
                     true => Outcome::Corrupt,
                     false => Outcome::Held,
                 };
-                spoilt += 1;
+                response_count += 1;
                 fetch.end(chunk, attempt, outcome, now);
             }
         }
         now = now.after_millis(100);
-        assert!(now < Instant::from_millis(20_000), "{spoilt} were asked");
+        assert!(
+            now < Instant::from_millis(20_000),
+            "not complete after {response_count} responses"
+        );
     }
 }
 
 #[test]
-fn a_busy_origin_is_asked_again_when_it_says() {
+fn overloaded_origin_is_retried_at_the_returned_time() {
     let plan = Plan::new(1, &replicas(1, 1), 2);
     let mut fetch = Fetch::new(Terms::default(), plan, ReplicaKey(0), 1);
-    let [Action::Ask { chunk, attempt, .. }] = asks(&mut fetch, Instant::from_millis(0))[..] else {
-        panic!("not asked")
+    let [Action::Ask { chunk, attempt, .. }] = poll_fetch(&mut fetch, Instant::from_millis(0))[..]
+    else {
+        panic!("expected a request")
     };
     let until = Instant::from_millis(500);
     fetch.end(
@@ -198,9 +205,9 @@
         Outcome::Refused(until),
         Instant::from_millis(1),
     );
-    assert!(asks(&mut fetch, Instant::from_millis(499)).is_empty());
+    assert!(poll_fetch(&mut fetch, Instant::from_millis(499)).is_empty());
     assert!(matches!(
-        asks(&mut fetch, until)[..],
+        poll_fetch(&mut fetch, until)[..],
         [Action::Ask {
             source: Source::Origin,
             ..
@@ -209,19 +216,25 @@
 }
 
 #[test]
-fn room_is_reserved_whole_and_what_is_assigned_is_never_pushed_out() {
+fn assigned_version_is_never_evicted() {
     let [a, b, c] = [b"a", b"b", b"c"].map(|name| Digest::of(name));
-    let mut room = Room::new(10);
-    assert_eq!(room.reserve(a, 6), Ok(Vec::new()));
-    assert_eq!(room.reserve(b, 5).expect_err("it is full").free, 4);
-    room.release(a);
-    assert_eq!(room.reserve(b, 5), Ok(vec![a]));
-    assert!(room.reserve(c, 6).is_err());
+    let mut reservations = Room::new(10);
+    assert_eq!(reservations.reserve(a, 6), Ok(Vec::new()));
+    assert_eq!(
+        reservations
+            .reserve(b, 5)
+            .expect_err("the reservation must fail")
+            .free,
+        4
+    );
+    reservations.release(a);
+    assert_eq!(reservations.reserve(b, 5), Ok(vec![a]));
+    assert!(reservations.reserve(c, 6).is_err());
 }
 
 proptest! {
     #[test]
-    fn spans_of_all_chunks_are_the_files_in_order(
+    fn chunk_spans_cover_all_files_in_order(
         sizes in prop::collection::vec(0..50usize, 1..8),
         chunk_bytes in 1..20u32,
     ) {
@@ -234,8 +247,8 @@
         let mut covered = vec![0_u64; sizes.len()];
         for chunk in 0..manifest.chunks.len() as u32 {
             let spans = manifest.spans(chunk);
-            let sum: u64 = spans.iter().map(|span| span.length).sum();
-            prop_assert_eq!(sum, u64::from(manifest.chunk_length(chunk)));
+            let total: u64 = spans.iter().map(|span| span.length).sum();
+            prop_assert_eq!(total, u64::from(manifest.chunk_length(chunk)));
             for span in spans {
                 prop_assert_eq!(covered[span.file], span.offset);
                 covered[span.file] += span.length;
@@ -247,7 +260,7 @@
     }
 
     #[test]
-    fn no_bytes_upset_the_manifest_reader(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
+    fn manifest_decoder_rejects_arbitrary_bytes_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
         let _ = Manifest::from_unnamed_bytes(&bytes);
         let other = Digest::of(b"other");
         let refused = matches!(Manifest::from_bytes(&bytes, other), Err(Error::Digest { .. }));
@@ -256,28 +269,31 @@
 }
 
 #[test]
-fn chunks_wanted_ahead_do_not_hold_the_window_up() {
-    let mut fetch = fetch(20);
+fn chunks_requested_ahead_do_not_block_the_window() {
+    let mut fetch = new_fetch(20);
     for chunk in 10..16 {
         fetch.want(chunk);
     }
     let mut actions = Vec::new();
     fetch.poll(Instant::from_millis(0), &mut actions);
-    let asked = |chunk| {
-        let is =
+    let is_requested = |chunk| {
+        let is_request =
             |action: &Action| matches!(action, Action::Ask { chunk: other, .. } if *other == chunk);
-        actions.iter().any(is)
+        actions.iter().any(is_request)
     };
     assert!(
-        asked(0) && asked(1),
-        "the window's first chunks are asked for"
+        is_requested(0) && is_requested(1),
+        "the first chunks of the window must be requested"
+    );
+    assert!(
+        is_requested(10),
+        "chunks requested ahead must be requested too"
     );
-    assert!(asked(10), "so are those that were wanted");
 }
 
 #[test]
-fn a_narrow_link_halves_what_is_asked_for_and_a_stall_does_too() {
-    let mut fetch = fetch(40);
+fn congested_link_halves_concurrent_requests() {
+    let mut fetch = new_fetch(40);
     for chunk in 0..8 {
         fetch.want(chunk);
     }
@@ -291,15 +307,12 @@
         .iter()
         .filter(|action| matches!(action, Action::Drop { .. }))
         .count();
-    assert_eq!(
-        dropped, 4,
-        "half of eight, and all of them can be asked for again"
-    );
+    assert_eq!(dropped, 4, "half of the eight requests must be cancelled");
 }
 
 #[test]
-fn an_origin_that_is_down_does_not_narrow_the_link() {
-    // Replica 0 of a plan with one replica takes everything from the origin.
+fn unreachable_origin_does_not_reduce_peer_requests() {
+    // The only replica of a plan fetches all chunks from the origin.
     let plan = Plan::new(1, &replicas(1, 1), 2);
     let terms = Terms {
         window: 8,
@@ -309,19 +322,19 @@
     let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), 40);
     let mut actions = Vec::new();
     let before = fetch.width();
-    for turn in 0..50 {
-        fetch.poll(Instant::from_millis(turn * 150), &mut actions);
+    for step in 0..50 {
+        fetch.poll(Instant::from_millis(step * 150), &mut actions);
     }
     let stalls = actions
         .iter()
         .filter(|action| matches!(action, Action::Drop { .. }))
         .count();
-    assert!(stalls > 20, "it was silent all the time");
+    assert!(stalls > 20, "requests to the silent origin must stall");
     assert_eq!(fetch.width(), before);
 }
 
-/// Fetch at the root of a chain of two zones: it takes every other chunk from the origin itself.
-fn fetch_at_a_root(chunks: u32) -> Fetch {
+/// Fetch by a zone root in a chain of two zones, which fetches every other chunk from the origin.
+fn fetch_by_zone_root(chunks: u32) -> Fetch {
     let plan = Plan::new(1, &replicas(2, 1), 1);
     let terms = Terms {
         window: 16,
@@ -334,7 +347,7 @@
 }
 
 #[test]
-fn chunks_that_wait_behind_others_on_the_origins_link_are_not_asked_for_again() {
+fn queued_origin_requests_are_not_cancelled_while_origin_sends() {
     let plan = Plan::new(1, &replicas(1, 1), 2);
     let terms = Terms {
         window: 8,
@@ -342,30 +355,30 @@
         ..Terms::default()
     };
     let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), 8);
-    let asked = asks(&mut fetch, Instant::from_millis(0));
+    let requested = poll_fetch(&mut fetch, Instant::from_millis(0));
     assert_eq!(
-        asked.len(),
+        requested.len(),
         8,
-        "all at once, and the link carries one after the other"
+        "all chunks must be requested concurrently"
     );
     for millis in (0..1_000).step_by(50) {
         let now = Instant::from_millis(millis);
         fetch.origin_sent(now);
-        assert_eq!(asks(&mut fetch, now), [], "at {millis}");
+        assert_eq!(poll_fetch(&mut fetch, now), [], "at {millis}");
     }
-    let silent = asks(&mut fetch, Instant::from_millis(1_100));
-    let dropped = silent
+    let actions = poll_fetch(&mut fetch, Instant::from_millis(1_100));
+    let cancelled = actions
         .iter()
         .filter(|action| matches!(action, Action::Drop { .. }));
     assert_eq!(
-        dropped.count(),
+        cancelled.count(),
         8,
-        "an origin that sends nothing is stalled"
+        "requests to a silent origin must be cancelled"
     );
 }
 
-/// A fetch whose chunks are asked of peers, with the questions at each of them.
-fn fetch_at_peers() -> (Fetch, BTreeMap<ReplicaKey, Vec<(u32, u64)>>) {
+/// A fetch with many requests to peers, and the chunk and attempt of each request by peer.
+fn fetch_from_peers() -> (Fetch, BTreeMap<ReplicaKey, Vec<(u32, u64)>>) {
     let plan = Plan::new(1, &replicas(1, 8), 2);
     let terms = Terms {
         window: 32,
@@ -375,21 +388,21 @@
         origin_at_once: 24,
     };
     let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), 32);
-    let mut questions = BTreeMap::<_, Vec<_>>::new();
-    for action in asks(&mut fetch, Instant::from_millis(0)) {
+    let mut requests = BTreeMap::<_, Vec<_>>::new();
+    for action in poll_fetch(&mut fetch, Instant::from_millis(0)) {
         if let Action::Ask {
             chunk,
             source: Source::Replica(peer),
             attempt,
         } = action
         {
-            questions.entry(peer).or_default().push((chunk, attempt));
+            requests.entry(peer).or_default().push((chunk, attempt));
         }
     }
-    (fetch, questions)
+    (fetch, requests)
 }
 
-fn dropped(actions: &[Action]) -> Vec<(u32, u64)> {
+fn cancelled_peer_requests(actions: &[Action]) -> Vec<(u32, u64)> {
     let dropped = actions.iter().filter_map(|action| match action {
         Action::Drop {
             chunk,
@@ -402,57 +415,73 @@
 }
 
 #[test]
-fn a_peer_that_speaks_on_one_question_is_not_given_up_on_the_others() {
+fn message_of_a_peer_extends_all_its_requests() {
     let at = Instant::from_millis;
-    let (mut fetch, questions) = fetch_at_peers();
-    let mut others = questions.clone();
-    let (peer, spoken) = others.pop_last().expect("peers are asked");
-    assert!(spoken.len() > 1 && !others.is_empty(), "{questions:?}");
+    let (mut fetch, requests) = fetch_from_peers();
+    let mut silent_peers = requests.clone();
+    let (peer, active_requests) = silent_peers
+        .pop_last()
+        .expect("requests must be sent to peers");
+    assert!(
+        active_requests.len() > 1 && !silent_peers.is_empty(),
+        "{requests:?}"
+    );
     fetch.peer_sent(peer, at(90));
-    // The silent ones are given up, each question of them; the one that spoke is not.
-    let silent: BTreeSet<_> = others.into_values().flatten().collect();
-    let given_up: BTreeSet<_> = dropped(&asks(&mut fetch, at(100))).into_iter().collect();
-    assert_eq!(given_up, silent);
-    // From its last word on, a stall counts as before.
-    let none: Vec<_> = dropped(&asks(&mut fetch, at(189)));
-    assert!(spoken.iter().all(|question| !none.contains(question)));
-    let late = dropped(&asks(&mut fetch, at(190)));
+    // All requests to the silent peers are cancelled, and none to the peer that sent a message.
+    let silent_requests: BTreeSet<_> = silent_peers.into_values().flatten().collect();
+    let cancelled: BTreeSet<_> = cancelled_peer_requests(&poll_fetch(&mut fetch, at(100)))
+        .into_iter()
+        .collect();
+    assert_eq!(cancelled, silent_requests);
+    // The stall deadline counts from the last message.
+    let cancelled_before: Vec<_> = cancelled_peer_requests(&poll_fetch(&mut fetch, at(189)));
     assert!(
-        spoken.iter().all(|question| late.contains(question)),
-        "{late:?}"
+        active_requests
+            .iter()
+            .all(|request| !cancelled_before.contains(request))
+    );
+    let cancelled_after = cancelled_peer_requests(&poll_fetch(&mut fetch, at(190)));
+    assert!(
+        active_requests
+            .iter()
+            .all(|request| cancelled_after.contains(request)),
+        "{cancelled_after:?}"
     );
 }
 
 #[test]
-fn a_question_that_its_source_never_mentions_is_given_up_although_the_source_speaks() {
-    let (mut fetch, questions) = fetch_at_peers();
-    let (peer, spoken) = questions.last_key_value().expect("peers are asked");
-    let [(chunk, attempt), forgotten @ ..] = &spoken[..] else {
-        panic!("{questions:?}")
+fn request_without_messages_is_cancelled_although_peer_sends_others() {
+    let (mut fetch, requests) = fetch_from_peers();
+    let (peer, active_requests) = requests
+        .last_key_value()
+        .expect("requests must be sent to peers");
+    let [(chunk, attempt), silent_requests @ ..] = &active_requests[..] else {
+        panic!("{requests:?}")
     };
-    let mut given_up_at = BTreeMap::new();
+    let mut cancelled_at = BTreeMap::new();
     for millis in (0..=1_000).step_by(10) {
         let now = Instant::from_millis(millis);
         fetch.progress(*chunk, *attempt, now);
         fetch.peer_sent(*peer, now);
-        for question in dropped(&asks(&mut fetch, now)) {
-            given_up_at.entry(question).or_insert(millis);
+        for request in cancelled_peer_requests(&poll_fetch(&mut fetch, now)) {
+            cancelled_at.entry(request).or_insert(millis);
         }
     }
-    // Two stalls after they were asked; the one that is spoken of is not given up.
-    for question in forgotten {
-        assert_eq!(given_up_at.get(question), Some(&200));
+    // Two stall periods after the request; the request with progress is not cancelled.
+    for request in silent_requests {
+        assert_eq!(cancelled_at.get(request), Some(&200));
     }
-    assert_eq!(given_up_at.get(&(*chunk, *attempt)), None);
+    assert_eq!(cancelled_at.get(&(*chunk, *attempt)), None);
 }
 
 #[test]
-fn questions_that_wait_at_others_do_not_keep_the_origin_from_being_asked() {
-    const LATE_MILLIS: u64 = 2_000;
-    let mut fetch = fetch_at_a_root(32);
-    let mut asked = BTreeSet::new();
+fn requests_waiting_at_peers_do_not_block_origin_requests() {
+    const WARM_UP_MILLIS: u64 = 2_000;
+    let mut fetch = fetch_by_zone_root(32);
+    let mut requested = BTreeSet::new();
     let mut waiting = Vec::new();
-    // The link was narrow once; since then the other root says that it waits itself, and no more.
+    // The other root only reports that it is waiting, while the limit of requests to peers is at
+    // its minimum.
     let mut dropped = Vec::new();
     fetch.poll(Instant::from_millis(0), &mut dropped);
     fetch.narrow(&mut dropped);
@@ -478,17 +507,20 @@
                 continue;
             }
             fetch.end(chunk, attempt, Outcome::Failed, now);
-            if millis > LATE_MILLIS {
-                asked.insert(chunk);
+            if millis > WARM_UP_MILLIS {
+                requested.insert(chunk);
             }
         }
     }
-    assert!(asked.len() >= 8, "{asked:?} are still asked for");
+    assert!(
+        requested.len() >= 8,
+        "only {requested:?} were requested from the origin"
+    );
 }
 
-/// Questions of a fetch whose sources all refuse at once, over so many milliseconds; `origin_from` is when the origin
-/// begins to give chunks, one in 45 ms. Gives the questions, and when the last chunk came.
-fn questions_in_vain(millis: u64, origin_from: u64) -> (usize, Option<u64>) {
+/// Runs a fetch for `millis` milliseconds while all sources fail; from `origin_from` on, the origin
+/// sends a chunk every 45 ms. Returns the number of requests, and the time of completion.
+fn run_with_failing_sources(millis: u64, origin_from: u64) -> (usize, Option<u64>) {
     const CHUNKS: u32 = 48;
     const CHUNK_MILLIS: u64 = 45;
     let plan = Plan::new(1, &replicas(2, 20), 3);
@@ -500,8 +532,8 @@
         origin_at_once: 24,
     };
     let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), CHUNKS);
-    let mut asked = 0;
-    let mut free_at = 0;
+    let mut request_count = 0;
+    let mut idle_at = 0;
     for step in 0..millis / 5 {
         let now = Instant::from_millis(5 * step);
         let mut actions = Vec::new();
@@ -513,44 +545,47 @@
                     source,
                     attempt,
                 } => {
-                    asked += 1;
-                    let gives = source == Source::Origin && 5 * step >= origin_from;
-                    let is_free = gives && free_at <= 5 * step;
-                    let outcome = match (gives, is_free) {
+                    request_count += 1;
+                    let is_origin_up = source == Source::Origin && 5 * step >= origin_from;
+                    let is_idle = is_origin_up && idle_at <= 5 * step;
+                    let outcome = match (is_origin_up, is_idle) {
                         (true, true) => Outcome::Held,
-                        (true, false) => Outcome::Refused(Instant::from_millis(free_at)),
+                        (true, false) => Outcome::Refused(Instant::from_millis(idle_at)),
                         (false, _) => Outcome::Failed,
                     };
-                    if is_free {
-                        free_at = 5 * step + CHUNK_MILLIS;
+                    if is_idle {
+                        idle_at = 5 * step + CHUNK_MILLIS;
                     }
                     fetch.end(chunk, attempt, outcome, now);
                 }
                 Action::Drop { .. } => {}
-                Action::Complete => return (asked, Some(5 * step)),
+                Action::Complete => return (request_count, Some(5 * step)),
             }
         }
     }
-    (asked, None)
+    (request_count, None)
 }
 
 #[test]
-fn sources_that_have_nothing_are_asked_less_and_less() {
-    // 24 chunks at once, each at 8 sources a round: every 100 ms that is a few thousand in a second.
-    let (asked, _) = questions_in_vain(10_000, u64::MAX);
-    assert!(asked <= 3_000, "{asked} questions in 10 s");
+fn requests_back_off_while_all_sources_fail() {
+    // Without backoff, 24 chunks at 8 sources every 100 ms make thousands of requests per second.
+    let (request_count, _) = run_with_failing_sources(10_000, u64::MAX);
+    assert!(request_count <= 3_000, "{request_count} requests in 10 s");
 }
 
 #[test]
-fn an_origin_that_is_back_is_made_use_of_at_once() {
-    let (_, last) = questions_in_vain(20_000, 6_000);
-    let took = last.expect("all chunks") - 6_000;
-    // 48 chunks take 2.2 s of its link.
-    assert!(took <= 3_000, "{took} ms after its return");
+fn backoff_ends_when_origin_recovers() {
+    let (_, last) = run_with_failing_sources(20_000, 6_000);
+    let recovery_millis = last.expect("the fetch must complete") - 6_000;
+    // The origin needs 2.2 s to send 48 chunks.
+    assert!(
+        recovery_millis <= 3_000,
+        "complete {recovery_millis} ms after the recovery"
+    );
 }
 
 #[test]
-fn the_origin_is_asked_for_the_lowest_chunks_first_also_after_it_was_down() {
+fn origin_requests_follow_chunk_order_after_an_outage() {
     let plan = Plan::new(1, &replicas(1, 1), 2);
     let terms = Terms {
         window: 24,
@@ -559,38 +594,42 @@
         ..Terms::default()
     };
     let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), 96);
-    let mut came = Vec::new();
-    let mut open = Vec::new();
+    let mut received = Vec::new();
+    let mut pending = Vec::new();
     for step in 0..400 {
         let now = Instant::from_millis(50 * step);
-        // Each look a chunk comes, but for 5 s; what was asked for last fails first then.
+        // One request completes at each poll; during an outage of 5 s, the latest one fails
+        // instead.
         let is_down = (100..200).contains(&step);
         if let Some((chunk, attempt)) = if is_down {
-            open.pop()
+            pending.pop()
         } else {
-            open.first().copied()
+            pending.first().copied()
         } {
-            open.retain(|(other, _)| *other != chunk);
+            pending.retain(|(other, _)| *other != chunk);
             let outcome = match is_down {
                 true => Outcome::Failed,
                 false => Outcome::Held,
             };
             if outcome == Outcome::Held {
-                came.push(chunk);
+                received.push(chunk);
             }
             fetch.end(chunk, attempt, outcome, now);
         }
-        for action in asks(&mut fetch, now) {
+        for action in poll_fetch(&mut fetch, now) {
             if let Action::Ask { chunk, attempt, .. } = action {
-                open.push((chunk, attempt));
+                pending.push((chunk, attempt));
             }
         }
-        assert!(open.len() <= 2, "{} at once", open.len());
+        assert!(pending.len() <= 2, "{} concurrent requests", pending.len());
     }
-    assert_eq!(came.len(), 96);
-    let late = came.iter().enumerate();
-    let most = late
+    assert_eq!(received.len(), 96);
+    let positions = received.iter().enumerate();
+    let max_displacement = positions
         .map(|(place, chunk)| place.abs_diff(*chunk as usize))
         .max();
-    assert!(most <= Some(8), "{most:?} places out of order");
+    assert!(
+        max_displacement <= Some(8),
+        "a chunk is {max_displacement:?} places out of order"
+    );
 }
