--- a/crates/gingerpier_routing/src/router.rs
+++ b/crates/gingerpier_routing/src/router.rs
@@ -235,13 +235,13 @@
         self.report(engine, other_requests, capacity, now);
     }
 
-    /// Counts a request that this process sent to `engine`.
+    /// Records a request that this process sent to `engine`.
     pub fn started(&mut self, engine: EngineKey) {
         self.engines[engine.0 as usize].own_requests += 1;
         self.adjust_pool_loads(engine, 1);
     }
 
-    /// Uncounts a request that this process sent to `engine`.
+    /// Records the end of a request that this process sent to `engine`.
     pub fn finished(&mut self, engine: EngineKey) {
         self.engines[engine.0 as usize].own_requests -= 1;
         self.adjust_pool_loads(engine, -1);
@@ -260,8 +260,8 @@
     /// Selects one of several pool sets at random, weighted by the number of engines not in
     /// `tried`; `None` if there are none.
     ///
-    /// Versions that serve traffic together are so used in proportion to their engines, and a retry
-    /// reaches another version once all engines of the first have been tried.
+    /// Versions that share traffic receive it in proportion to their engines, and a retry reaches
+    /// another version once all engines of the first have been tried.
     pub fn draw_pools(&mut self, sets: &[Vec<PoolKey>], tried: &[EngineKey]) -> Option<usize> {
         let untried_count = |set: &Vec<PoolKey>| {
             let members = set.iter().flat_map(|pool| self.members(*pool));
--- a/crates/gingerpier_weights/src/fetch.rs
+++ b/crates/gingerpier_weights/src/fetch.rs
@@ -130,7 +130,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Chunk {
-    /// Sources tried in this round.
+    /// Sources that failed in this round.
     failed_sources: usize,
     /// Consecutive rounds in which all sources failed.
     failed_rounds: u32,
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Extends all deadlines by the delay of a poll that was due at `due`, if that is more than
-    /// [`LATE_POLL_MILLIS`].
+    /// Extends all deadlines by the delay of a poll that was due at `due`, if it is more than 100
+    /// ms.
     pub fn note_look(&mut self, due: Instant, now: Instant) {
         let late_millis = now.millis_since(due);
         if late_millis <= LATE_POLL_MILLIS {
@@ -274,8 +274,8 @@
         }
     }
 
-    /// Extends the stall deadlines of all requests to the origin, which may send them one after the
-    /// other.
+    /// Extends the stall deadlines of all requests to the origin after it sent data for any of
+    /// them.
     pub fn origin_sent(&mut self, now: Instant) {
         let stall_deadline = now.after_millis(self.terms.stall_millis);
         let attempts = self
@@ -287,8 +287,8 @@
         }
     }
 
-    /// Extends the stall deadlines of all requests to `peer` after a response to any of them, up to
-    /// their request stall deadlines.
+    /// Extends the stall deadlines of all requests to `peer` after a message on any of them, but
+    /// not beyond their request stall deadlines.
     pub fn peer_sent(&mut self, peer: ReplicaKey, now: Instant) {
         let stall_deadline = now.after_millis(self.terms.stall_millis);
         let attempts = self
@@ -375,8 +375,8 @@
         if attempt.stall_deadline.has_passed(now) || attempt.total_deadline.has_passed(now) {
             state.attempt = None;
             state.failed_sources += 1;
-            // A stalled peer may be due to a congested link. The origin is exempt, as it may be
-            // down, and so are peers that report that they are waiting.
+            // A silent peer indicates a congested link. The origin doesn't, as it may be down, and
+            // neither do peers that report that they are waiting.
             let is_silent = attempt.stall_deadline.has_passed(now);
             if is_silent && attempt.source != Source::Origin {
                 let active_count = self.active_attempt_count();
--- a/crates/gingerpier_weights/src/plan.rs
+++ b/crates/gingerpier_weights/src/plan.rs
@@ -83,7 +83,7 @@
 }
 
 impl Plan {
-    /// Creates the plan of the version with hash `subject`; a replica's key is its index in
+    /// Creates the plan of the version with hash `version_hash`; a replica's key is its index in
     /// `replicas`.
     pub fn new(version_hash: u64, replicas: &[Replica], fan_out: u32) -> Self {
         let mut keys: Vec<usize> = (0..replicas.len()).collect();
--- a/crates/gingerpier_weights/src/relay.rs
+++ b/crates/gingerpier_weights/src/relay.rs
@@ -10,9 +10,9 @@
 //! own, so each chunk crosses each zone and region link once; the first relay of all fetches it
 //! from the origin.
 //!
-//! A zone may have many more relays than the origin has connections, so each relay gets a random
-//! level and ranks above those of lower levels. Only the relays of a zone's highest level, its
-//! heads, fetch chunks from other zones and the origin; there are few of them in a zone of any
+//! A zone may have many more relays than the origin has connections, so each relay derives a level
+//! from its hash and ranks above those of lower levels. Only the relays of a zone's highest level,
+//! its heads, fetch chunks from other zones and the origin; there are few of them in a zone of any
 //! size. Every other relay fetches a chunk from one of the relays that rank next above it.
 
 use {
@@ -25,15 +25,15 @@
 /// level 2 or above.
 const BITS_PER_LEVEL: u32 = 2;
 
-/// Number of relays ranked next above a relay from which its parent for a chunk is selected; bounds
-/// the copies that one relay sends.
+/// Number of next higher relays from which a relay selects its parent for a chunk; bounds the
+/// copies that one relay sends.
 const PARENT_CANDIDATES: usize = 3;
 
-/// Minimum number of level-0 relays in a zone for processes that aren't relays to prefer them over
-/// the others.
+/// Number of level-0 relays in a zone from which on other processes try them before those of higher
+/// levels.
 const MIN_LOWEST_LEVEL_RELAYS: usize = 3;
 
-/// Maximum number of relays of which each may request the manifest from the origin.
+/// Maximum number of relays at which each may request the manifest from the origin.
 const MAX_RELAYS_AT_ORIGIN: usize = 16;
 
 /// Relays of one version.
@@ -61,7 +61,7 @@
 type ZoneRank = (u64, u64, u64, u64);
 
 impl Relays {
-    /// Creates the relays of the version with hash `subject`; a relay's key is its index in
+    /// Creates the relays of the version with hash `version_hash`; a relay's key is its index in
     /// `relays`.
     pub fn new(version_hash: u64, relays: Vec<Replica>) -> Self {
         let mut zones: Vec<Zone> = Vec::new();
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Replaces `sources` by the sources of `chunk` for the relay `own`, best first.
+    /// Replaces `sources` by the sources of `chunk` for the relay `own_key`, best first.
     pub fn relay_sources(&self, own_key: ReplicaKey, chunk: u32, sources: &mut Vec<Source>) {
         sources.clear();
         let replica = self.replica(own_key);
@@ -103,7 +103,7 @@
         let mut candidates = candidates.to_vec();
         let seed = self.version_hash ^ order::mix(replica.identity ^ u64::from(chunk));
         order::sort_by_score(seed, &mut candidates, |key| self.identity(*key));
-        // Fallbacks are ordered by distance from the origin, shortest first.
+        // If the candidates fail, the higher ranks follow, then the heads.
         let others = candidates.iter().chain(distant);
         sources.extend(others.chain(heads).copied().map(Source::Replica));
         let own_rank = self.zone_rank(&replica, chunk);
@@ -139,7 +139,7 @@
         self.relays.len() <= MAX_RELAYS_AT_ORIGIN
     }
 
-    /// True if `own` is a head of its zone.
+    /// True if `own_key` is a head of its zone.
     pub fn is_head(&self, own_key: ReplicaKey) -> bool {
         let members = self.members(self.replica(own_key).zone, 0);
         let heads = &members[..self.head_count(&members)];
--- a/crates/gingerpier_weights/src/route.rs
+++ b/crates/gingerpier_weights/src/route.rs
@@ -11,8 +11,8 @@
 /// Holders tried for each chunk before the origin; more than one, as some may have ended.
 const MAX_HOLDERS_BEFORE_ORIGIN: u64 = 2;
 
-/// Sources ranked after the origin that are tried before it if there are holders: they fetched
-/// chunks while this process was not running.
+/// Maximum sources ranked after the origin that are tried before it if there are holders; these
+/// deputies fetched the chunks while this process was not running.
 const MAX_DEPUTIES_BEFORE_ORIGIN: usize = 3;
 
 /// Processes that may already hold chunks. They are tried before the origin, which saves its
@@ -110,7 +110,8 @@
         }
     }
 
-    /// Chunks of the first `count` that this process is the first to fetch from the origin.
+    /// Chunks below `count` that this process fetches from the origin without waiting for another
+    /// process.
     pub fn entries(&self, count: u32) -> Vec<u32> {
         let mut sources = Vec::new();
         let mut is_entry = |chunk: &u32| {
