--- a/crates/gingerpier_gateway/src/callers/choosing.rs
+++ b/crates/gingerpier_gateway/src/callers/choosing.rs
@@ -5,7 +5,7 @@
     crate::clock,
     gingerpier_base::Instant,
     gingerpier_serving::{
-        admission::{self, Census, Choice, Demand, Due},
+        admission::{self, AvailabilityCounts, Choice, Criteria, Cutover},
         fleet::EngineKey,
         precedence,
         report::Version,
@@ -43,7 +43,7 @@
         }
         let latest_start = now.after_millis(MIGRATION_LEAD_MILLIS);
         let would_be_late =
-            admission::least_version(&self.cutovers(), latest_start) > progress.version();
+            admission::min_version(&self.cutovers(), latest_start) > progress.version();
         if would_be_late || !self.can_retry(progress) {
             return false;
         }
@@ -51,7 +51,7 @@
             .spend_retry(&self.request.service_settings().name, now)
     }
 
-    fn cutovers(&self) -> Vec<Due> {
+    fn cutovers(&self) -> Vec<Cutover> {
         let model = self.request.model.as_deref();
         model.map_or_else(Vec::new, |model| self.state.cutovers(model))
     }
@@ -87,48 +87,53 @@
         let own_millis = self
             .own_millis
             .filter(|_| self.request.engine_model().is_some())?;
-        Some(admission::wait_millis(target_millis, own_millis))
+        Some(admission::slack_millis(target_millis, own_millis))
     }
 
-    fn demand<'d>(&'d self, cutovers: &'d [Due], progress: &Progress, now: Instant) -> Demand<'d> {
+    fn criteria<'d>(
+        &'d self,
+        cutovers: &'d [Cutover],
+        progress: &Progress,
+        now: Instant,
+    ) -> Criteria<'d> {
         let request = self.request;
         let service = &request.service_settings().name;
-        Demand {
+        Criteria {
             service,
-            engines: request.engine_model(),
+            engine_model: request.engine_model(),
             model: request.model.as_deref(),
-            due: cutovers,
-            goes_on_with: progress.has_begun().then(|| progress.version()),
+            cutovers,
+            resume_version: progress.has_begun().then(|| progress.version()),
             prompt_tokens: request.prompt_tokens,
             target_millis: self.target_millis(progress),
             target_share: self.target_share(now),
-            even: self.state.fairness(request.traffic_class(), now),
-            homes: request.regions,
-            cold: self.state.cold_terms(request.service_settings()),
+            fairness: self.state.fairness(request.traffic_class(), now),
+            allowed_regions: request.regions,
+            cold_limits: self.state.cold_terms(request.service_settings()),
             zone: &self.state.settings.zone,
-            gateways: self.state.zones.borrow().gateway_count(),
-            others_per_milli: self.state.peer_arrivals_per_milli(service, now),
-            tried: &self.tried,
-            may_end_engine: self.is_trial,
+            gateway_count: self.state.zones.borrow().gateway_count(),
+            other_arrivals_per_milli: self.state.peer_arrivals_per_milli(service, now),
+            tried_engines: &self.tried,
+            may_crash_engine: self.is_trial,
         }
     }
 
     /// Counts the service's engines by the reason for which they can't run the request.
-    pub(super) fn census(&self) -> Census {
+    pub(super) fn availability_counts(&self) -> AvailabilityCounts {
         let now = clock::now();
         let cutovers = self.cutovers();
-        let demand = self.demand(&cutovers, &Progress::default(), now);
-        admission::census(&self.state.fleet.borrow(), &demand, now)
+        let criteria = self.criteria(&cutovers, &Progress::default(), now);
+        admission::count_availability(&self.state.fleet.borrow(), &criteria, now)
     }
 
     pub(super) fn choose_engine(&mut self, progress: &Progress) -> Option<EngineKey> {
         let now = clock::now();
         let cutovers = self.cutovers();
         let fleet = self.state.fleet.borrow();
-        let demand = self.demand(&cutovers, progress, now);
-        let choice = admission::choose(&fleet, &demand, now, self.random);
+        let criteria = self.criteria(&cutovers, progress, now);
+        let choice = admission::choose(&fleet, &criteria, now, self.random);
         self.has_candidate = choice != Choice::NoEngine;
-        self.shortfall = None;
+        self.refusal = None;
         self.own_millis = None;
         match choice {
             Choice::Send {
@@ -141,10 +146,10 @@
                 self.engine_load = Some(fleet.engine(engine).seen(now));
                 Some(engine)
             }
-            Choice::Full(shortfall) => {
-                self.predicted_millis = shortfall.predicted_millis();
-                self.own_millis = Some(shortfall.parts.own);
-                self.shortfall = Some(shortfall);
+            Choice::Full(refusal) => {
+                self.predicted_millis = refusal.predicted_millis();
+                self.own_millis = Some(refusal.components.own);
+                self.refusal = Some(refusal);
                 None
             }
             Choice::NoEngine => None,
@@ -158,12 +163,12 @@
             return progress.version();
         }
         let now = clock::now();
-        let least = admission::least_version(&self.cutovers(), now);
+        let min_version = admission::min_version(&self.cutovers(), now);
         let fleet = self.state.fleet.borrow();
         let model = self.request.model.as_deref();
         let loaded = model.and_then(|model| fleet.engine(engine).version_of(model, now));
         loaded
-            .filter(|loaded| least > Version::default() && *loaded >= least)
+            .filter(|loaded| min_version > Version::default() && *loaded >= min_version)
             .unwrap_or_default()
     }
 
--- a/crates/gingerpier_gateway/src/callers/ending.rs
+++ b/crates/gingerpier_gateway/src/callers/ending.rs
@@ -190,10 +190,10 @@
             return;
         }
         let now = clock::now();
-        // The census is rate limited, as it visits every engine.
+        // Counting is rate limited, as it visits every engine.
         let lacks_engine = ending == Ending::Refused && self.refusal_reason.is_none();
-        let has_census = lacks_engine && log::allows_census();
-        let census = has_census.then(|| self.census());
+        let has_availability_counts = lacks_engine && log::allows_availability_counts();
+        let availability_counts = has_availability_counts.then(|| self.availability_counts());
         let fleet = self.state.fleet.borrow();
         let engine = self.tried.last().map(|key| fleet.engine(*key));
         tracing::info!(
@@ -215,15 +215,15 @@
             unread = self.engine_load.map(|load| load.unread_tokens),
             prompt = self.request.prompt_tokens,
             size = self.request.band.map(tracing::field::display),
-            bound = self.shortfall.map(|shortfall| shortfall.bound as u64),
-            queue = self.shortfall.map(|shortfall| shortfall.parts.queue as u64),
-            passes = self.shortfall.map(|shortfall| shortfall.parts.passes as u64),
-            others = self.shortfall.map(|shortfall| shortfall.parts.others as u64),
-            own = self.shortfall.map(|shortfall| shortfall.parts.own as u64),
-            error = self.shortfall.map(|shortfall| shortfall.error as u64),
+            bound = self.refusal.map(|refusal| refusal.bound_millis as u64),
+            queue = self.refusal.map(|refusal| refusal.components.queue as u64),
+            passes = self.refusal.map(|refusal| refusal.components.passes as u64),
+            others = self.refusal.map(|refusal| refusal.components.others as u64),
+            own = self.refusal.map(|refusal| refusal.components.own as u64),
+            error = self.refusal.map(|refusal| refusal.error_millis as u64),
             visit = ?self.request.visit,
             took = now.millis_since(self.request.received),
-            engines = census.map(tracing::field::display),
+            engines = availability_counts.map(tracing::field::display),
             "request"
         );
     }
--- a/crates/gingerpier_gateway/src/callers/forward.rs
+++ b/crates/gingerpier_gateway/src/callers/forward.rs
@@ -18,7 +18,7 @@
         writer::Message,
     },
     gingerpier_serving::{
-        admission::Shortfall,
+        admission::Refusal,
         course::{Failure, Next, Standing},
         engine::Seen,
         fleet::EngineKey,
@@ -98,7 +98,7 @@
     /// Known load of the engine chosen last.
     pub(super) engine_load: Option<Seen>,
     /// Why the last choice found all engines full.
-    pub(super) shortfall: Option<Shortfall>,
+    pub(super) refusal: Option<Refusal>,
 }
 
 /// Forwards a request to engines until its caller has a final response.
@@ -129,7 +129,7 @@
         is_trial: false,
         random: fastrand::u64(..),
         engine_load: None,
-        shortfall: None,
+        refusal: None,
     };
     forwarder.run(caller).await
 }
--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -4,7 +4,7 @@
     super::State,
     crate::{clock, metrics::EngineLabels},
     gingerpier_serving::{
-        admission::{self, Demand, Standing},
+        admission::{self, Availability, Criteria},
         dialect::Subject,
         evenness::Even,
         fleet::Record,
@@ -122,32 +122,32 @@
         for (service, engines) in configuration.services_part().engines() {
             let model = engines.models.first().map(String::as_str);
             let cutovers = model.map_or_else(Vec::new, |model| self.cutovers(model));
-            let demand = Demand {
+            let criteria = Criteria {
                 service: &service.name,
-                engines: Some(engines),
+                engine_model: Some(engines),
                 model,
-                due: &cutovers,
-                goes_on_with: None,
+                cutovers: &cutovers,
+                resume_version: None,
                 prompt_tokens: engines.usual_prompt.into(),
                 target_millis: USUAL_REQUEST_TARGET_MILLIS,
                 target_share: 1.0,
-                even: Even::default(),
-                homes: Homes::ANYWHERE,
-                cold: self.cold_terms(service),
+                fairness: Even::default(),
+                allowed_regions: Homes::ANYWHERE,
+                cold_limits: self.cold_terms(service),
                 zone: &self.settings.zone,
-                gateways: self.zones.borrow().gateway_count(),
-                others_per_milli: 0.0,
-                tried: &[],
-                may_end_engine: false,
+                gateway_count: self.zones.borrow().gateway_count(),
+                other_arrivals_per_milli: 0.0,
+                tried_engines: &[],
+                may_crash_engine: false,
             };
-            let census = admission::census(&fleet, &demand, now);
-            for availability in Standing::ALL {
+            let counts = admission::count_availability(&fleet, &criteria, now);
+            for availability in Availability::ALL {
                 let labels = EngineLabels {
                     service: service.name.clone(),
-                    standing: availability.word().to_owned(),
+                    standing: availability.label().to_owned(),
                 };
                 let gauge = self.metrics.engines.get_or_create(&labels).clone();
-                gauge.set(census.count(availability).into());
+                gauge.set(counts.count(availability).into());
             }
         }
     }
--- a/crates/gingerpier_gateway/src/state/naming.rs
+++ b/crates/gingerpier_gateway/src/state/naming.rs
@@ -4,7 +4,7 @@
     super::State,
     crate::{clock, message},
     gingerpier_serving::{
-        admission::Due,
+        admission::Cutover,
         dialect::Named,
         naming::{Naming, Namings, OWN},
         report::Version,
@@ -83,7 +83,7 @@
     }
 
     /// Past and coming cutovers of `model`.
-    pub fn cutovers(&self, model: &str) -> Vec<Due> {
+    pub fn cutovers(&self, model: &str) -> Vec<Cutover> {
         let releases = self.releases.borrow();
         let model_releases = releases.get(model).into_iter().flat_map(Namings::iter);
         model_releases
@@ -91,8 +91,8 @@
             .collect()
     }
 
-    fn cutover_of(&self, release: &Naming) -> Due {
-        Due {
+    fn cutover_of(&self, release: &Naming) -> Cutover {
+        Cutover {
             version: release.version,
             at: release.due_at(self.settings.version_within.0),
         }
--- a/crates/gingerpier_overload/src/gateway.rs
+++ b/crates/gingerpier_overload/src/gateway.rs
@@ -4,7 +4,7 @@
     crate::deployment::Deployment,
     gingerpier_base::Instant,
     gingerpier_serving::{
-        admission::{self, Choice, Demand},
+        admission::{self, Choice, Criteria},
         arrivals::Arrivals,
         budget::{Budget, Terms},
         fleet::{EngineKey, Fleet, Record, State},
@@ -112,25 +112,25 @@
     pub fn choose(&self, ask: &Ask<'_>, now: Instant) -> Choice {
         let others = (self.known_gateways - 1) as f64;
         let zone = format!("z{}", self.zone);
-        let demand = Demand {
+        let criteria = Criteria {
             service: crate::SERVICE,
-            engines: Some(&ask.deployment.model),
+            engine_model: Some(&ask.deployment.model),
             model: Some(crate::MODEL),
-            due: &[],
-            goes_on_with: None,
+            cutovers: &[],
+            resume_version: None,
             prompt_tokens: ask.prompt,
             target_millis: ask.target_millis,
             target_share: self.precedence.share(ask.visit, now),
-            even: self.precedence.even(now),
+            fairness: self.precedence.even(now),
             zone: &zone,
-            gateways: self.known_gateways as u32,
-            others_per_milli: self.arrivals.per_milli(now) * others,
-            tried: ask.tried,
-            may_end_engine: false,
-            homes: Homes::ANYWHERE,
-            cold: warmth::Terms::NEVER,
+            gateway_count: self.known_gateways as u32,
+            other_arrivals_per_milli: self.arrivals.per_milli(now) * others,
+            tried_engines: ask.tried,
+            may_crash_engine: false,
+            allowed_regions: Homes::ANYWHERE,
+            cold_limits: warmth::Terms::NEVER,
         };
-        admission::choose(&self.fleet, &demand, now, ask.draw)
+        admission::choose(&self.fleet, &criteria, now, ask.draw)
     }
 
     /// Notes a request that was sent to an engine; `is_first` where it is no retry.
--- a/crates/gingerpier_overload/src/world/attempts.rs
+++ b/crates/gingerpier_overload/src/world/attempts.rs
@@ -121,8 +121,8 @@
             Choice::Full(_) if self.holds(index) => {
                 return self.after(HOLD_LOOK_MILLIS, Event::Again(index));
             }
-            Choice::Full(shortfall) => {
-                let wait = self.wait_of(index, shortfall.parts.own);
+            Choice::Full(refusal) => {
+                let wait = self.wait_of(index, refusal.components.own);
                 return self.refuse(index, &RETRY_FULL, Some(wait));
             }
             Choice::NoEngine => return self.refuse(index, &RETRY_NO_ENGINE, None),
@@ -168,7 +168,7 @@
     /// Milliseconds that a caller could wait behind others, where its own prompt takes `own`.
     fn wait_of(&self, index: usize, own: f64) -> f64 {
         let target = self.deployment.target_of(self.callers[index].kind);
-        admission::wait_millis(target, own)
+        admission::slack_millis(target, own)
     }
 
     pub(super) fn refuse(&mut self, index: usize, pause: &Range<f64>, wait: Option<f64>) {
--- a/crates/gingerpier_serving/src/admission.rs
+++ b/crates/gingerpier_serving/src/admission.rs
@@ -4,9 +4,9 @@
 //! request that would miss its target on every engine is refused immediately, so that it doesn't
 //! delay the others.
 
-mod census;
+mod availability;
 
-pub use census::{Census, Standing, census};
+pub use availability::{Availability, AvailabilityCounts, count_availability};
 use {
     crate::{
         configuration::EngineModel,
@@ -59,7 +59,7 @@
 
 /// Time from which requests may only start on a version or a newer one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Due {
+pub struct Cutover {
     /// Lowest version that may start requests after the cutover.
     pub version: Version,
     /// Time of the cutover.
@@ -68,17 +68,17 @@
 
 /// Properties of a request that determine its engine.
 #[derive(Debug, Clone, Copy)]
-pub struct Demand<'a> {
+pub struct Criteria<'a> {
     /// Service name.
     pub service: &'a str,
     /// Performance model of the engines; `None` for ordinary services.
-    pub engines: Option<&'a EngineModel>,
+    pub engine_model: Option<&'a EngineModel>,
     /// Model name, if the request has one.
     pub model: Option<&'a str>,
     /// Past and scheduled cutovers of the model's weights.
-    pub due: &'a [Due],
+    pub cutovers: &'a [Cutover],
     /// Version that generated the first part of a resumed stream.
-    pub goes_on_with: Option<Version>,
+    pub resume_version: Option<Version>,
     /// Length of the prompt.
     pub prompt_tokens: u64,
     /// Target time to the first event.
@@ -86,22 +86,22 @@
     /// Fraction of the target that the first event may be predicted to take.
     pub target_share: f64,
     /// Adjustment of the bound for requests with little or much slack.
-    pub even: Even,
+    pub fairness: Even,
     /// Regions in which the request may run.
-    pub homes: Homes,
+    pub allowed_regions: Homes,
     /// Request limits of cold engines of the service.
-    pub cold: Terms,
+    pub cold_limits: Terms,
     /// Zone of this gateway.
     pub zone: &'a str,
     /// Number of gateways that choose among the same engines, including this one.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// Estimated arrival rate at the other gateways, in requests per millisecond.
-    pub others_per_milli: f64,
+    pub other_arrivals_per_milli: f64,
     /// Engines that earlier attempts of the request were sent to.
-    pub tried: &'a [EngineKey],
+    pub tried_engines: &'a [EngineKey],
     /// True if the request is suspected of crashing engines, and prefers engines with few other
     /// requests.
-    pub may_end_engine: bool,
+    pub may_crash_engine: bool,
 }
 
 /// Outcome of admission.
@@ -117,28 +117,28 @@
         own_millis: f64,
     },
     /// Every eligible engine is predicted to miss the bound.
-    Full(Shortfall),
+    Full(Refusal),
     /// No engine is eligible.
     NoEngine,
 }
 
 /// Prediction for the best engine of a refused request, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Shortfall {
+pub struct Refusal {
     /// Bound that the prediction exceeds.
-    pub bound: f64,
+    pub bound_millis: f64,
     /// Components of the prediction.
-    pub parts: Parts,
+    pub components: Parts,
     /// Time by which the engine's status report is overdue.
-    pub silence: f64,
+    pub overdue_millis: f64,
     /// Mean recent prediction error of the engine, scaled by its load.
-    pub error: f64,
+    pub error_millis: f64,
 }
 
-impl Shortfall {
+impl Refusal {
     /// Predicted time to the first event.
     pub fn predicted_millis(&self) -> f64 {
-        self.parts.sum() + self.silence
+        self.components.sum() + self.overdue_millis
     }
 }
 
@@ -148,44 +148,44 @@
 /// With many gateways, a random subset of the model's engines is considered first and the rest only
 /// if none of these meets the bound. This prevents gateways with the same view from overloading the
 /// same engines.
-pub fn choose(fleet: &Fleet, demand: &Demand<'_>, now: Instant, draw: u64) -> Choice {
-    let subsets = subset_count(demand);
+pub fn choose(fleet: &Fleet, criteria: &Criteria<'_>, now: Instant, draw: u64) -> Choice {
+    let subsets = subset_count(criteria);
     let mut queue_share = 1.0;
     if subsets > 1 {
         let is_in_subset = |key: EngineKey| {
             let hash = order::mix(order::mix(u64::from(key.0)) ^ draw);
             hash.is_multiple_of(u64::from(subsets))
         };
-        if let Some(sampled) = best_candidate(fleet, demand, now, draw, is_in_subset) {
-            if sampled.expected_millis() <= bound_millis(demand, &sampled.parts) {
+        if let Some(sampled) = best_candidate(fleet, criteria, now, draw, is_in_subset) {
+            if sampled.expected_millis() <= bound_millis(criteria, &sampled.components) {
                 return sampled.choice();
             }
             queue_share = FALLBACK_QUEUE_SHARE;
         }
     }
-    let Some(fallback) = best_candidate(fleet, demand, now, draw, |_| true) else {
+    let Some(fallback) = best_candidate(fleet, criteria, now, draw, |_| true) else {
         return Choice::NoEngine;
     };
-    let own_millis = fallback.parts.own;
+    let own_millis = fallback.components.own;
     // Only the queueing time is scaled: the time for the request's own prompt is the same
     // everywhere.
     let fallback_bound =
-        own_millis + (bound_millis(demand, &fallback.parts) - own_millis) * queue_share;
+        own_millis + (bound_millis(criteria, &fallback.components) - own_millis) * queue_share;
     match fallback.expected_millis() <= fallback_bound {
         true => fallback.choice(),
-        false => Choice::Full(Shortfall {
-            bound: fallback_bound,
-            parts: fallback.parts,
-            silence: fallback.silence,
-            error: fallback.error,
+        false => Choice::Full(Refusal {
+            bound_millis: fallback_bound,
+            components: fallback.components,
+            overdue_millis: fallback.overdue_millis,
+            error_millis: fallback.error_millis,
         }),
     }
 }
 
 /// Returns the number of subsets that the engines are divided into.
-fn subset_count(demand: &Demand<'_>) -> u32 {
-    match demand.engines {
-        Some(_) => (demand.gateways / GATEWAYS_PER_SUBSET).clamp(1, MAX_SUBSETS),
+fn subset_count(criteria: &Criteria<'_>) -> u32 {
+    match criteria.engine_model {
+        Some(_) => (criteria.gateway_count / GATEWAYS_PER_SUBSET).clamp(1, MAX_SUBSETS),
         None => 1,
     }
 }
@@ -194,45 +194,45 @@
 /// it meets the bound.
 fn best_candidate(
     fleet: &Fleet,
-    demand: &Demand<'_>,
+    criteria: &Criteria<'_>,
     now: Instant,
     draw: u64,
     is_included: impl Fn(EngineKey) -> bool,
 ) -> Option<Candidate> {
     let mut best: Option<Candidate> = None;
-    let unreported_per_milli = unreported_per_milli(fleet, demand, now);
-    for (key, engine) in fleet.of_service(demand.service) {
-        if !is_included(key) || demand.tried.contains(&key) {
+    let unreported_per_milli = unreported_per_milli(fleet, criteria, now);
+    for (key, engine) in fleet.of_service(criteria.service) {
+        if !is_included(key) || criteria.tried_engines.contains(&key) {
             continue;
         }
-        if !demand.homes.admit(engine.region) {
+        if !criteria.allowed_regions.admit(engine.region) {
             continue;
         }
         if !engine.is_open(now) || engine.is_on_trial(now) {
             continue;
         }
-        if !engine.is_warm_for(&demand.cold, demand.gateways, now) {
+        if !engine.is_warm_for(&criteria.cold_limits, criteria.gateway_count, now) {
             continue;
         }
-        let parts = predict(engine, demand, unreported_per_milli, now);
-        let silence = engine.silence(now) as f64;
-        let predicted = parts.sum() + silence;
+        let components = predict(engine, criteria, unreported_per_milli, now);
+        let overdue_millis = engine.silence(now) as f64;
+        let predicted = components.sum() + overdue_millis;
         let lateness = engine.lateness();
         let starts_at = now.after_millis((predicted + lateness) as u64 + START_MARGIN_MILLIS);
-        if !has_valid_weights(engine, demand, now, starts_at) {
+        if !has_valid_weights(engine, criteria, now, starts_at) {
             continue;
         }
         let cost_millis = predicted
             + lateness
-            + extra_cost_millis(engine, demand, now)
+            + extra_cost_millis(engine, criteria, now)
             + jitter_millis(key, draw);
         if best.is_none_or(|best| cost_millis < best.cost_millis) {
             best = Some(Candidate {
                 key,
                 cost_millis,
-                parts,
-                silence,
-                error: loaded_error_millis(engine, now),
+                components,
+                overdue_millis,
+                error_millis: loaded_error_millis(engine, now),
             });
         }
     }
@@ -240,10 +240,10 @@
 }
 
 /// Returns the estimated arrival rate at each open engine from other gateways.
-fn unreported_per_milli(fleet: &Fleet, demand: &Demand<'_>, now: Instant) -> f64 {
-    let listed = fleet.of_service(demand.service);
+fn unreported_per_milli(fleet: &Fleet, criteria: &Criteria<'_>, now: Instant) -> f64 {
+    let listed = fleet.of_service(criteria.service);
     let open_count = listed.filter(|(_, engine)| engine.is_open(now)).count();
-    demand.others_per_milli / (open_count.max(1) as f64)
+    criteria.other_arrivals_per_milli / (open_count.max(1) as f64)
 }
 
 /// Engine that is eligible for a request.
@@ -252,9 +252,9 @@
     key: EngineKey,
     /// Ranking cost, in milliseconds; lower is better.
     cost_millis: f64,
-    parts: Parts,
-    silence: f64,
-    error: f64,
+    components: Parts,
+    overdue_millis: f64,
+    error_millis: f64,
 }
 
 impl Candidate {
@@ -262,17 +262,17 @@
         Choice::Send {
             engine: self.key,
             predicted_millis: self.predicted_millis(),
-            own_millis: self.parts.own,
+            own_millis: self.components.own,
         }
     }
 
     fn predicted_millis(&self) -> f64 {
-        self.parts.sum() + self.silence
+        self.components.sum() + self.overdue_millis
     }
 
     /// Predicted time to the first event plus the engine's mean prediction error.
     fn expected_millis(&self) -> f64 {
-        self.predicted_millis() + self.error
+        self.predicted_millis() + self.error_millis
     }
 }
 
@@ -285,45 +285,59 @@
 }
 
 /// Returns the lowest version that may start a request at `starts_at`.
-pub fn least_version(due: &[Due], starts_at: Instant) -> Version {
-    let past = due.iter().filter(|due| due.at.has_passed(starts_at));
-    past.map(|due| due.version).max().unwrap_or_default()
+pub fn min_version(cutovers: &[Cutover], starts_at: Instant) -> Version {
+    let past = cutovers
+        .iter()
+        .filter(|cutover| cutover.at.has_passed(starts_at));
+    past.map(|cutover| cutover.version)
+        .max()
+        .unwrap_or_default()
 }
 
 fn has_valid_weights(
     engine: &Engine,
-    demand: &Demand<'_>,
+    criteria: &Criteria<'_>,
     now: Instant,
     starts_at: Instant,
 ) -> bool {
-    let (Some(_), Some(model)) = (demand.engines, demand.model) else {
+    let (Some(_), Some(model)) = (criteria.engine_model, criteria.model) else {
         return true;
     };
     let Some(version) = engine.version_of(model, now) else {
         return false;
     };
     // A request that is stuck on the way to a suspect engine could start after the cutover.
-    let is_before_cutover = demand.due.iter().any(|due| due.version > version);
+    let is_before_cutover = criteria
+        .cutovers
+        .iter()
+        .any(|cutover| cutover.version > version);
     if is_before_cutover && engine.is_suspect() {
         return false;
     }
-    let matches_stream = demand
-        .goes_on_with
+    let matches_stream = criteria
+        .resume_version
         .is_none_or(|stream_version| stream_version == version);
-    matches_stream && version >= least_version(demand.due, starts_at) && !engine.latest(now).is_busy
+    matches_stream
+        && version >= min_version(criteria.cutovers, starts_at)
+        && !engine.latest(now).is_busy
 }
 
-fn predict(engine: &Engine, demand: &Demand<'_>, unreported_per_milli: f64, now: Instant) -> Parts {
-    match demand.engines {
+fn predict(
+    engine: &Engine,
+    criteria: &Criteria<'_>,
+    unreported_per_milli: f64,
+    now: Instant,
+) -> Parts {
+    match criteria.engine_model {
         Some(model) => prediction::first_event(
             engine,
             model,
-            demand.prompt_tokens,
+            criteria.prompt_tokens,
             unreported_per_milli,
             now,
         ),
         None => {
-            let default_work = PLAIN_DEFAULT_WORK_SHARE * demand.target_millis as f64;
+            let default_work = PLAIN_DEFAULT_WORK_SHARE * criteria.target_millis as f64;
             Parts {
                 own: engine.work_millis().unwrap_or(default_work) * engine.crowding(),
                 ..Parts::default()
@@ -332,13 +346,13 @@
     }
 }
 
-fn extra_cost_millis(engine: &Engine, demand: &Demand<'_>, now: Instant) -> f64 {
-    let zone_cost = if engine.record.zone == demand.zone {
+fn extra_cost_millis(engine: &Engine, criteria: &Criteria<'_>, now: Instant) -> f64 {
+    let zone_cost = if engine.record.zone == criteria.zone {
         0.0
     } else {
         OTHER_ZONE_COST_MILLIS
     };
-    let sharing_cost = match demand.may_end_engine {
+    let sharing_cost = match criteria.may_crash_engine {
         true => CRASH_RISK_COST_MILLIS * engine.occupancy(now),
         false => 0.0,
     };
@@ -346,23 +360,24 @@
 }
 
 /// Returns the longest expected time to the first event at which the request is still admitted.
-fn bound_millis(demand: &Demand<'_>, parts: &Parts) -> f64 {
-    let target_millis = demand.target_millis as f64;
-    let Some(model) = demand.engines else {
+fn bound_millis(criteria: &Criteria<'_>, components: &Parts) -> f64 {
+    let target_millis = criteria.target_millis as f64;
+    let Some(model) = criteria.engine_model else {
         return target_millis * PLAIN_TARGET_SHARE;
     };
     // A slow engine is slow when idle, too, so the idle time is scaled by its slowdown.
-    let idle_millis = prediction::idle_first_millis(model, demand.prompt_tokens) * parts.pace;
+    let idle_millis =
+        prediction::idle_first_millis(model, criteria.prompt_tokens) * components.pace;
     // Under overload, requests with much slack would otherwise fill all engines.
-    let adjustment = demand
-        .even
-        .more_millis(wait_millis(target_millis, parts.own));
-    (target_millis * demand.target_share + adjustment).max(idle_millis * IDLE_TOLERANCE)
+    let adjustment = criteria
+        .fairness
+        .more_millis(slack_millis(target_millis, components.own));
+    (target_millis * criteria.target_share + adjustment).max(idle_millis * IDLE_TOLERANCE)
 }
 
 /// Returns how long a first attempt may queue and still meet its target, if its own prompt takes
 /// `own_millis`.
-pub fn wait_millis(target_millis: f64, own_millis: f64) -> f64 {
+pub fn slack_millis(target_millis: f64, own_millis: f64) -> f64 {
     target_millis * precedence::TARGET_SHARE - own_millis
 }
 
--- a/crates/gingerpier_serving/src/admission/census.rs
+++ b/crates/gingerpier_serving/src/admission/availability.rs
@@ -5,7 +5,7 @@
 
 use {
     super::{
-        Demand, bound_millis, least_version, loaded_error_millis, predict, unreported_per_milli,
+        Criteria, bound_millis, loaded_error_millis, min_version, predict, unreported_per_milli,
     },
     crate::{
         engine::Engine,
@@ -17,27 +17,27 @@
 
 /// Availability of an engine for a request; if several reasons apply, the first of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum Availability {
     /// A newer engine is listed at the same address.
     Replaced,
     /// Its entry has been missing from the store for longer than the grace period.
     Lapsed,
     /// Its region is not allowed for the request.
-    Abroad,
+    RegionNotAllowed,
     /// Its zone is evacuated.
     Evacuated,
     /// It is draining.
-    Leaving,
+    Draining,
     /// An earlier attempt of the request was sent to it.
-    Tried,
+    AlreadyTried,
     /// It has no weights of the model loaded.
-    Empty,
+    NoWeights,
     /// Its weights are older than required, or differ from those that began the stream.
     Outdated,
     /// It is executing an order, or one is about to be sent to it.
     Ordered,
     /// It is in backoff after a failure or a refusal.
-    Resting,
+    BackingOff,
     /// It is cold, and this gateway may not send it a request now.
     Cold,
     /// It is suspect and limited to one request at a time.
@@ -50,19 +50,19 @@
     Open,
 }
 
-impl Standing {
+impl Availability {
     /// All values, in order of precedence.
     pub const ALL: [Self; 15] = [
         Self::Replaced,
         Self::Lapsed,
-        Self::Abroad,
+        Self::RegionNotAllowed,
         Self::Evacuated,
-        Self::Leaving,
-        Self::Tried,
-        Self::Empty,
+        Self::Draining,
+        Self::AlreadyTried,
+        Self::NoWeights,
         Self::Outdated,
         Self::Ordered,
-        Self::Resting,
+        Self::BackingOff,
         Self::Cold,
         Self::OnTrial,
         Self::Silent,
@@ -71,18 +71,18 @@
     ];
 
     /// Label in logs and metrics.
-    pub const fn word(self) -> &'static str {
+    pub const fn label(self) -> &'static str {
         match self {
             Self::Replaced => "replaced",
             Self::Lapsed => "lapsed",
-            Self::Abroad => "abroad",
+            Self::RegionNotAllowed => "abroad",
             Self::Evacuated => "evacuated",
-            Self::Leaving => "leaving",
-            Self::Tried => "tried",
-            Self::Empty => "empty",
+            Self::Draining => "leaving",
+            Self::AlreadyTried => "tried",
+            Self::NoWeights => "empty",
             Self::Outdated => "outdated",
             Self::Ordered => "ordered",
-            Self::Resting => "resting",
+            Self::BackingOff => "resting",
             Self::Cold => "cold",
             Self::OnTrial => "on-trial",
             Self::Silent => "silent",
@@ -94,23 +94,23 @@
 
 /// Number of engines of a service for each availability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Census([u32; Standing::ALL.len()]);
+pub struct AvailabilityCounts([u32; Availability::ALL.len()]);
 
-impl Census {
+impl AvailabilityCounts {
     /// Number of engines with this availability.
-    pub const fn count(&self, standing: Standing) -> u32 {
-        self.0[standing as usize]
+    pub const fn count(&self, availability: Availability) -> u32 {
+        self.0[availability as usize]
     }
 }
 
 /// Writes the non-zero counts, such as `empty:44,full:1`, or `none` if no engine is listed.
-impl fmt::Display for Census {
+impl fmt::Display for AvailabilityCounts {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut separator = "";
-        for standing in Standing::ALL {
-            let count = self.count(standing);
+        for availability in Availability::ALL {
+            let count = self.count(availability);
             if count > 0 {
-                write!(out, "{separator}{}:{count}", standing.word())?;
+                write!(out, "{separator}{}:{count}", availability.label())?;
                 separator = ",";
             }
         }
@@ -122,75 +122,83 @@
 }
 
 /// Counts the listed engines of the requested service by their availability.
-pub fn census(fleet: &Fleet, demand: &Demand<'_>, now: Instant) -> Census {
-    let mut census = Census::default();
-    let unreported_per_milli = unreported_per_milli(fleet, demand, now);
-    for (key, engine) in fleet.of_service(demand.service) {
-        let standing = match demand.tried.contains(&key) {
-            true => Standing::Tried,
-            false => standing(engine, demand, unreported_per_milli, now),
+pub fn count_availability(
+    fleet: &Fleet,
+    criteria: &Criteria<'_>,
+    now: Instant,
+) -> AvailabilityCounts {
+    let mut counts = AvailabilityCounts::default();
+    let unreported_per_milli = unreported_per_milli(fleet, criteria, now);
+    for (key, engine) in fleet.of_service(criteria.service) {
+        let availability = match criteria.tried_engines.contains(&key) {
+            true => Availability::AlreadyTried,
+            false => availability_of(engine, criteria, unreported_per_milli, now),
         };
-        census.0[standing as usize] += 1;
+        counts.0[availability as usize] += 1;
     }
-    census
+    counts
 }
 
-fn standing(
+fn availability_of(
     engine: &Engine,
-    demand: &Demand<'_>,
+    criteria: &Criteria<'_>,
     unreported_per_milli: f64,
     now: Instant,
-) -> Standing {
+) -> Availability {
     if engine.is_replaced {
-        return Standing::Replaced;
+        return Availability::Replaced;
     }
     if engine.has_lapsed(now) {
-        return Standing::Lapsed;
+        return Availability::Lapsed;
     }
-    if !demand.homes.admit(engine.region) {
-        return Standing::Abroad;
+    if !criteria.allowed_regions.admit(engine.region) {
+        return Availability::RegionNotAllowed;
     }
     if engine.is_evacuated {
-        return Standing::Evacuated;
+        return Availability::Evacuated;
     }
     if engine.record.state == State::Draining {
-        return Standing::Leaving;
+        return Availability::Draining;
     }
-    if let Some(standing) = weights_standing(engine, demand, now) {
-        return standing;
+    if let Some(availability) = weights_availability(engine, criteria, now) {
+        return availability;
     }
     if !engine.is_open(now) {
-        return Standing::Resting;
+        return Availability::BackingOff;
     }
-    if !engine.is_warm_for(&demand.cold, demand.gateways, now) {
-        return Standing::Cold;
+    if !engine.is_warm_for(&criteria.cold_limits, criteria.gateway_count, now) {
+        return Availability::Cold;
     }
     if engine.is_on_trial(now) {
-        return Standing::OnTrial;
+        return Availability::OnTrial;
     }
-    let predicted = predict(engine, demand, unreported_per_milli, now);
+    let predicted = predict(engine, criteria, unreported_per_milli, now);
     let expected = predicted.sum() + loaded_error_millis(engine, now);
-    let bound = bound_millis(demand, &predicted);
+    let bound = bound_millis(criteria, &predicted);
     if expected > bound {
-        return Standing::Full;
+        return Availability::Full;
     }
     match expected + engine.silence(now) as f64 > bound {
-        true => Standing::Silent,
-        false => Standing::Open,
+        true => Availability::Silent,
+        false => Availability::Open,
     }
 }
 
 /// Returns the reason if the engine's weights make it unavailable.
-fn weights_standing(engine: &Engine, demand: &Demand<'_>, now: Instant) -> Option<Standing> {
-    let model = demand.model.filter(|_| demand.engines.is_some())?;
+fn weights_availability(
+    engine: &Engine,
+    criteria: &Criteria<'_>,
+    now: Instant,
+) -> Option<Availability> {
+    let model = criteria.model.filter(|_| criteria.engine_model.is_some())?;
     let Some(version) = engine.version_of(model, now) else {
-        return Some(Standing::Empty);
+        return Some(Availability::NoWeights);
     };
-    let is_wrong_version = demand
-        .goes_on_with
+    let is_wrong_version = criteria
+        .resume_version
         .is_some_and(|stream_version| stream_version != version);
-    if is_wrong_version || version < least_version(demand.due, now) {
-        return Some(Standing::Outdated);
+    if is_wrong_version || version < min_version(criteria.cutovers, now) {
+        return Some(Availability::Outdated);
     }
-    engine.latest(now).is_busy.then_some(Standing::Ordered)
+    engine.latest(now).is_busy.then_some(Availability::Ordered)
 }
--- a/crates/gingerpier_serving/tests/decisions.rs
+++ b/crates/gingerpier_serving/tests/decisions.rs
@@ -3,7 +3,7 @@
 use {
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
-        admission::{self, Choice, Demand, Due},
+        admission::{self, Choice, Criteria, Cutover},
         arrivals::Arrivals,
         backlog::Backlog,
         bringing::{self, NamedAt, Place, Tenure, Terms},
@@ -83,35 +83,39 @@
     (fleet, keys)
 }
 
-fn demand<'a>(model: &'a EngineModel, due: &'a [Due], tried: &'a [EngineKey]) -> Demand<'a> {
-    Demand {
-        engines: Some(model),
+fn criteria<'a>(
+    model: &'a EngineModel,
+    cutovers: &'a [Cutover],
+    tried_engines: &'a [EngineKey],
+) -> Criteria<'a> {
+    Criteria {
+        engine_model: Some(model),
         model: Some("m"),
-        due,
+        cutovers,
         prompt_tokens: 979,
-        tried,
-        ..demand_of_nothing()
+        tried_engines,
+        ..default_criteria()
     }
 }
 
-fn demand_of_nothing() -> Demand<'static> {
-    Demand {
+fn default_criteria() -> Criteria<'static> {
+    Criteria {
         service: "s",
-        engines: None,
+        engine_model: None,
         model: None,
-        due: &[],
-        goes_on_with: None,
+        cutovers: &[],
+        resume_version: None,
         prompt_tokens: 0,
         target_millis: 500,
         target_share: precedence::TARGET_SHARE,
-        even: Even::default(),
-        gateways: 6,
+        fairness: Even::default(),
+        gateway_count: 6,
         zone: "z",
-        others_per_milli: 0.0,
-        tried: &[],
-        may_end_engine: false,
-        homes: Homes::ANYWHERE,
-        cold: warmth::Terms::NEVER,
+        other_arrivals_per_milli: 0.0,
+        tried_engines: &[],
+        may_crash_engine: false,
+        allowed_regions: Homes::ANYWHERE,
+        cold_limits: warmth::Terms::NEVER,
     }
 }
 
@@ -125,8 +129,9 @@
 #[test]
 fn availability_counts_name_the_reason_for_each_engine() {
     let (model, tried) = (model(), []);
-    let demand = demand(&model, &[], &tried);
-    let count = |fleet: &Fleet| admission::census(fleet, &demand, at(1_000)).to_string();
+    let criteria = criteria(&model, &[], &tried);
+    let count =
+        |fleet: &Fleet| admission::count_availability(fleet, &criteria, at(1_000)).to_string();
     assert_eq!(count(&Fleet::default()), "none");
     let (mut fleet, keys) = fleet(6);
     let empty = Report {
@@ -157,31 +162,37 @@
     let (mut fleet, keys) = fleet(1);
     fleet.engine_mut(keys[0]).note_report(report(1, 20), at(0));
     let refusal = |tokens| {
-        let demand = Demand {
+        let criteria = Criteria {
             prompt_tokens: tokens,
-            ..demand(&model, &[], &tried)
+            ..criteria(&model, &[], &tried)
         };
-        match admission::choose(&fleet, &demand, at(0), 0) {
+        match admission::choose(&fleet, &criteria, at(0), 0) {
             Choice::Full(shortfall) => shortfall,
             other => panic!("{other:?}"),
         }
     };
     let (average, large) = (refusal(979), refusal(2_937));
-    assert_eq!(average.parts.queue, large.parts.queue);
-    assert_eq!(average.parts.others, large.parts.others);
-    assert!(large.parts.own > 2.9 * average.parts.own, "{large:?}");
-    let sum = large.parts.queue + large.parts.passes + large.parts.others + large.parts.own;
+    assert_eq!(average.components.queue, large.components.queue);
+    assert_eq!(average.components.others, large.components.others);
+    assert!(
+        large.components.own > 2.9 * average.components.own,
+        "{large:?}"
+    );
+    let sum = large.components.queue
+        + large.components.passes
+        + large.components.others
+        + large.components.own;
     assert_eq!(large.predicted_millis(), sum);
-    assert_eq!(large.bound, 500.0 * precedence::TARGET_SHARE);
+    assert_eq!(large.bound_millis, 500.0 * precedence::TARGET_SHARE);
 }
 
 /// Guards against permanent refusal of a prompt that misses its target even on an idle engine.
 #[test]
 fn idle_engine_admits_a_prompt_that_misses_its_target_everywhere() {
     let (model, tried) = (model(), []);
-    let large = Demand {
+    let large = Criteria {
         prompt_tokens: 20_000,
-        ..demand(&model, &[], &tried)
+        ..criteria(&model, &[], &tried)
     };
     let (mut fleet, keys) = fleet(1);
     fleet.engine_mut(keys[0]).note_report(report(1, 0), at(0));
@@ -199,9 +210,9 @@
 #[test]
 fn slow_idle_engine_admits_a_large_prompt() {
     let (model, tried) = (model(), []);
-    let large = Demand {
+    let large = Criteria {
         prompt_tokens: 3_500,
-        ..demand(&model, &[], &tried)
+        ..criteria(&model, &[], &tried)
     };
     let (mut fleet, keys) = fleet(1);
     let slow = |active| Report {
@@ -223,11 +234,11 @@
 #[test]
 fn returning_caller_gets_an_idle_engine_outside_an_ineligible_subset() {
     let (model, tried) = (model(), []);
-    let returned = Demand {
-        gateways: 40,
+    let returned = Criteria {
+        gateway_count: 40,
         target_millis: 400,
         target_share: precedence::LEFT_SHARE,
-        ..demand(&model, &[], &tried)
+        ..criteria(&model, &[], &tried)
     };
     let (mut fleet, keys) = fleet(40);
     let empty = Report {
@@ -285,10 +296,10 @@
     for (key, active) in keys.iter().zip([40, 3]) {
         fleet.engine_mut(*key).note_report(report(1, active), at(0));
     }
-    let choice = admission::choose(&fleet, &demand(&model, &[], &[]), at(1), 0);
+    let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert_eq!(selected_engine(choice), Some(keys[1]));
     fleet.engine_mut(keys[1]).note_report(report(1, 40), at(0));
-    let choice = admission::choose(&fleet, &demand(&model, &[], &[]), at(1), 0);
+    let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert!(matches!(choice, Choice::Full(_)));
 }
 
@@ -308,7 +319,12 @@
     let model = model();
     fleet.engine_mut(keys[0]).note_silence(at(0));
     let choose = |fleet: &Fleet, now| {
-        selected_engine(admission::choose(fleet, &demand(&model, &[], &[]), now, 0))
+        selected_engine(admission::choose(
+            fleet,
+            &criteria(&model, &[], &[]),
+            now,
+            0,
+        ))
     };
     assert_eq!(choose(&fleet, at(900)), None);
     assert_eq!(choose(&fleet, at(1_100)), Some(keys[0]));
@@ -342,14 +358,14 @@
 fn request_does_not_start_on_weights_past_their_cutover() {
     let (fleet, keys) = fleet(1);
     let model = model();
-    let due = [Due {
+    let due = [Cutover {
         version: Version(2),
         at: at(5_000),
     }];
     let choose = |now| {
         selected_engine(admission::choose(
             &fleet,
-            &demand(&model, &due, &[]),
+            &criteria(&model, &due, &[]),
             now,
             0,
         ))
@@ -363,15 +379,15 @@
 fn suspect_engine_gets_no_trial_request_before_a_cutover() {
     let (mut fleet, keys) = fleet(1);
     let model = model();
-    let due = [Due {
+    let due = [Cutover {
         version: Version(2),
         at: at(8_000),
     }];
     fleet.engine_mut(keys[0]).note_silence(at(0));
-    let choose = |due: &[Due]| {
+    let choose = |due: &[Cutover]| {
         selected_engine(admission::choose(
             &fleet,
-            &demand(&model, due, &[]),
+            &criteria(&model, due, &[]),
             at(2_000),
             0,
         ))
@@ -389,16 +405,16 @@
     let (mut fleet, keys) = fleet(2);
     let model = model();
     fleet.engine_mut(keys[1]).note_report(report(2, 0), at(0));
-    let resumed = Demand {
-        goes_on_with: Some(Version(2)),
-        ..demand(&model, &[], &[])
+    let resumed = Criteria {
+        resume_version: Some(Version(2)),
+        ..criteria(&model, &[], &[])
     };
     let choice = admission::choose(&fleet, &resumed, at(1), 0);
     assert_eq!(selected_engine(choice), Some(keys[1]));
     let choice = admission::choose(
         &fleet,
-        &Demand {
-            tried: &[keys[1]],
+        &Criteria {
+            tried_engines: &[keys[1]],
             ..resumed
         },
         at(1),
@@ -691,7 +707,7 @@
         };
         fleet.engine_mut(*key).note_report(report, at(0));
     }
-    let choice = admission::choose(&fleet, &demand(&model, &[], &[]), at(1), 0);
+    let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert_eq!(selected_engine(choice), Some(keys[1]));
     let first = prediction::first_event(fleet.engine(keys[0]), &model, 979, 0.0, at(0)).sum();
     assert!(
@@ -750,11 +766,11 @@
 #[test]
 fn ordinary_service_time_is_measured_without_sharing() {
     let (mut fleet, keys) = fleet(1);
-    let ordinary = Demand {
-        engines: None,
+    let ordinary = Criteria {
+        engine_model: None,
         model: None,
         target_millis: 100,
-        ..demand_of_nothing()
+        ..default_criteria()
     };
     let predicted = |fleet: &Fleet| match admission::choose(fleet, &ordinary, at(0), 0) {
         Choice::Send {
@@ -826,7 +842,7 @@
 
 /// Returns how many of 64 requests from gateways with the same view are sent to the one idle engine
 /// of 64.
-fn sent_to_idle_engine(gateways: u32) -> usize {
+fn sent_to_idle_engine(gateway_count: u32) -> usize {
     let (mut fleet, keys) = fleet(64);
     for (index, key) in keys.iter().enumerate() {
         let active = if index == 0 { 0 } else { 2 };
@@ -834,13 +850,13 @@
         engine.note_report(report(1, active), at(0));
     }
     let model = model();
-    let demand = Demand {
-        gateways,
-        ..demand(&model, &[], &[])
+    let criteria = Criteria {
+        gateway_count,
+        ..criteria(&model, &[], &[])
     };
     let draws = (0..64).map(order::mix);
     let selected =
-        draws.map(|draw| selected_engine(admission::choose(&fleet, &demand, at(0), draw)));
+        draws.map(|draw| selected_engine(admission::choose(&fleet, &criteria, at(0), draw)));
     selected.filter(|engine| *engine == Some(keys[0])).count()
 }
 
--- a/crates/gingerpier_serving/tests/evenness.rs
+++ b/crates/gingerpier_serving/tests/evenness.rs
@@ -4,7 +4,7 @@
 use {
     gingerpier_base::Instant,
     gingerpier_serving::{
-        admission::{self, Choice, Demand},
+        admission::{self, Choice, Criteria},
         configuration::EngineModel,
         evenness::{Even, Waits},
         fleet::{Fleet, Record, State},
@@ -68,32 +68,32 @@
 
 /// Returns the highest number of running requests at which the engine still admits a request.
 fn max_running_at_admission(
-    even: Even,
+    fairness: Even,
     target_share: f64,
     prompt_tokens: u64,
     target_millis: u64,
 ) -> u32 {
     let model = model();
-    let demand = Demand {
+    let criteria = Criteria {
         service: "s",
-        engines: Some(&model),
+        engine_model: Some(&model),
         model: Some("m"),
-        due: &[],
-        goes_on_with: None,
+        cutovers: &[],
+        resume_version: None,
         prompt_tokens,
         target_millis,
         target_share,
-        even,
+        fairness,
         zone: "z",
-        gateways: 1,
-        others_per_milli: 0.0,
-        tried: &[],
-        may_end_engine: false,
-        homes: Homes::ANYWHERE,
-        cold: Terms::NEVER,
+        gateway_count: 1,
+        other_arrivals_per_milli: 0.0,
+        tried_engines: &[],
+        may_crash_engine: false,
+        allowed_regions: Homes::ANYWHERE,
+        cold_limits: Terms::NEVER,
     };
     let is_admitted = |active: &u32| {
-        let choice = admission::choose(&fleet(*active), &demand, at(0), 0);
+        let choice = admission::choose(&fleet(*active), &criteria, at(0), 0);
         matches!(choice, Choice::Send { .. })
     };
     (0..40).take_while(is_admitted).last().unwrap_or_default()
--- a/crates/gingerpier_serving/tests/places.rs
+++ b/crates/gingerpier_serving/tests/places.rs
@@ -7,7 +7,7 @@
 use {
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
-        admission::{self, Choice, Demand},
+        admission::{self, Choice, Criteria},
         configuration::{
             Configuration, Limits, Repeat, Route, RouteKey, Service, ServiceKey, ServiceKind,
             Target, Tenant,
@@ -61,24 +61,24 @@
     }
 }
 
-fn demand(homes: Homes, cold: Terms, gateways: u32) -> Demand<'static> {
-    Demand {
+fn criteria(allowed_regions: Homes, cold_limits: Terms, gateway_count: u32) -> Criteria<'static> {
+    Criteria {
         service: "s",
-        engines: None,
+        engine_model: None,
         model: None,
-        due: &[],
-        goes_on_with: None,
+        cutovers: &[],
+        resume_version: None,
         prompt_tokens: 0,
         target_millis: 500,
         target_share: precedence::TARGET_SHARE,
-        even: Even::default(),
-        homes,
-        cold,
+        fairness: Even::default(),
+        allowed_regions,
+        cold_limits,
         zone: "a",
-        gateways,
-        others_per_milli: 0.0,
-        tried: &[],
-        may_end_engine: false,
+        gateway_count,
+        other_arrivals_per_milli: 0.0,
+        tried_engines: &[],
+        may_crash_engine: false,
     }
 }
 
@@ -512,10 +512,11 @@
             Policy::Unlimited => Terms::NEVER,
             Policy::Owners | Policy::AllOwners => self.terms,
         };
-        let demand = demand(homes, cold, self.gateways.len() as u32);
+        let criteria = criteria(homes, cold, self.gateways.len() as u32);
         let random = self.rng.u64(..);
         let fleet = &mut self.gateways[gateway].fleet;
-        let Choice::Send { engine, .. } = admission::choose(fleet, &demand, instant, random) else {
+        let Choice::Send { engine, .. } = admission::choose(fleet, &criteria, instant, random)
+        else {
             self.outcome.refused += 1;
             return;
         };
