--- a/crates/gingerpier_gateway/src/discovery.rs
+++ b/crates/gingerpier_gateway/src/discovery.rs
@@ -7,7 +7,7 @@
 use {
     crate::{
         clock,
-        message::{self, Datagram, Member, Names},
+        message::{self, Datagram, GatewayList, Member},
         state::State,
         store,
     },
@@ -63,7 +63,7 @@
         zones.note_member(&member.zone, address, now);
     }
     drop(zones);
-    let reply = message::encode(&Datagram::Names(Names {
+    let reply = message::encode(&Datagram::GatewayList(GatewayList {
         gateways: listed,
         probe: None,
     }));
--- a/crates/gingerpier_gateway/src/figures.rs
+++ b/crates/gingerpier_gateway/src/figures.rs
@@ -9,11 +9,11 @@
         clock,
         error::{Error, Step},
         message::{
-            self, DigestHeld, EngineFigures, Figures, Naming, OriginFigures, ServiceFigures,
-            ToldEngine, ToldService,
+            self, ConfigurationPart, EngineEntry, EngineParameters, IndexedVersion,
+            OriginParameters, ReportedRelease, ServiceEntry, ServiceParameters,
         },
         state::State,
-        weights::Carrier,
+        weights::Distributor,
     },
     gingerpier_base::Instant,
     gingerpier_http1::writer::Message,
@@ -51,7 +51,7 @@
                 // Ages are rounded up to the next rebuild, until which the message may be served.
                 release.age += REBUILD_INTERVAL_MILLIS;
             }
-            *state.carrier.figures.borrow_mut() = Some(message::encode(&figures).into());
+            *state.distributor.figures.borrow_mut() = Some(message::encode(&figures).into());
         }
         clock::pause(MIN_REBUILD_INTERVAL_MILLIS).await;
         let next_rebuild = clock::now().after_millis(REBUILD_INTERVAL_MILLIS);
@@ -61,8 +61,8 @@
 }
 
 /// Builds the response to a loader's request.
-pub fn reply(carrier: &Carrier) -> Vec<u8> {
-    match carrier.figures.borrow().as_ref() {
+pub fn reply(distributor: &Distributor) -> Vec<u8> {
+    match distributor.figures.borrow().as_ref() {
         Some(figures) => Message::response(200).body(figures),
         None => Message::response(404).body(b""),
     }
@@ -75,7 +75,7 @@
     /// Engines, known by their addresses.
     pub fleet: Fleet,
     /// Released weights.
-    pub named: Vec<Naming>,
+    pub named: Vec<ReportedRelease>,
 }
 
 /// Requests the information from a gateway.
@@ -96,7 +96,7 @@
     if response.head.status != 200 {
         return Err(invalid(dialect::Error::Status(response.head.status)));
     }
-    let figures: Option<Figures> = message::decode(&response.body);
+    let figures: Option<ConfigurationPart> = message::decode(&response.body);
     let figures = figures.ok_or_else(|| {
         invalid(dialect::Error::Malformed {
             place: "figures".to_owned(),
@@ -108,8 +108,8 @@
 
 /// Builds the message about `services` and the engines of `fleet`; releases are added by the
 /// caller.
-pub fn build(services: &Services, fleet: &Fleet, now: Instant) -> Figures {
-    let mut message = Figures {
+pub fn build(services: &Services, fleet: &Fleet, now: Instant) -> ConfigurationPart {
+    let mut message = ConfigurationPart {
         version: services.version,
         weights_digest: services.weights_digest(),
         services: services.list().iter().filter_map(encode_service).collect(),
@@ -128,7 +128,7 @@
 }
 
 /// Converts a decoded message.
-pub fn decode(figures: Figures) -> LoaderConfiguration {
+pub fn decode(figures: ConfigurationPart) -> LoaderConfiguration {
     let mut fleet = Fleet::default();
     for engine in &figures.engines {
         if let Some(record) = decode_engine(engine, &figures) {
@@ -143,10 +143,10 @@
     }
 }
 
-fn encode_service(service: &Service) -> Option<ToldService> {
+fn encode_service(service: &Service) -> Option<ServiceEntry> {
     let figures = match &service.kind {
         ServiceKind::Plain => return None,
-        ServiceKind::Engines(engines) => ServiceFigures::Engines(EngineFigures {
+        ServiceKind::Engines(engines) => ServiceParameters::Engines(EngineParameters {
             slots: engines.slots,
             stride: engines.stride,
             step_millis: engines.step_millis,
@@ -159,22 +159,22 @@
             memory_tokens: engines.memory_tokens,
             models: engines.models.clone(),
         }),
-        ServiceKind::Origin(origin) => ServiceFigures::Origin(OriginFigures {
+        ServiceKind::Origin(origin) => ServiceParameters::Origin(OriginParameters {
             address: origin.address,
             link_bits_per_second: origin.link_bits_per_second,
             max_connections: origin.max_connections,
         }),
     };
-    Some(ToldService {
+    Some(ServiceEntry {
         name: service.name.clone(),
         max_connections: service.max_connections,
         figures,
     })
 }
 
-fn decode_service(entry: ToldService) -> Service {
+fn decode_service(entry: ServiceEntry) -> Service {
     let kind = match entry.figures {
-        ServiceFigures::Engines(engines) => ServiceKind::Engines(Box::new(EngineModel {
+        ServiceParameters::Engines(engines) => ServiceKind::Engines(Box::new(EngineModel {
             slots: engines.slots,
             stride: engines.stride,
             step_millis: engines.step_millis,
@@ -187,7 +187,7 @@
             memory_tokens: engines.memory_tokens,
             models: engines.models,
         })),
-        ServiceFigures::Origin(origin) => ServiceKind::Origin(Origin {
+        ServiceParameters::Origin(origin) => ServiceKind::Origin(Origin {
             address: origin.address,
             link_bits_per_second: origin.link_bits_per_second,
             max_connections: origin.max_connections,
@@ -202,11 +202,16 @@
     }
 }
 
-fn encode_engine(engine: &Engine, service: u32, message: &mut Figures, now: Instant) -> ToldEngine {
+fn encode_engine(
+    engine: &Engine,
+    service: u32,
+    message: &mut ConfigurationPart,
+    now: Instant,
+) -> EngineEntry {
     let loaded = engine.latest(now).held.iter();
     let loaded =
-        loaded.filter_map(|weights| DigestHeld::new(weights, &mut message.models, usize::MAX));
-    ToldEngine {
+        loaded.filter_map(|weights| IndexedVersion::new(weights, &mut message.models, usize::MAX));
+    EngineEntry {
         address: engine.record.address,
         service,
         held: loaded.collect(),
@@ -225,7 +230,7 @@
 }
 
 /// Record of an engine; `None` if an index of the message is out of range.
-fn decode_engine(engine: &ToldEngine, figures: &Figures) -> Option<Record> {
+fn decode_engine(engine: &EngineEntry, figures: &ConfigurationPart) -> Option<Record> {
     let loaded = engine.held.iter();
     let loaded = loaded.filter_map(|weights| weights.held(&figures.models));
     Some(Record {
--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -83,7 +83,7 @@
     actix_rt::spawn(store::follow(state.clone()));
     actix_rt::spawn(relay::serve(state.clone(), control_listener));
     actix_rt::spawn(relay::follow(state.clone()));
-    actix_rt::spawn(peers::serve(state.carrier.clone(), chunk_listener));
+    actix_rt::spawn(peers::serve(state.distributor.clone(), chunk_listener));
     actix_rt::spawn(figures::run(state.clone()));
     if state.settings.carries_weights {
         actix_rt::spawn(weights::relay::keep(state.clone()));
--- a/crates/gingerpier_gateway/src/loader/activation.rs
+++ b/crates/gingerpier_gateway/src/loader/activation.rs
@@ -53,7 +53,7 @@
 pub async fn stage_chunks(loader: &Loader, model_version: &Named) -> bool {
     let mut client = Client::new(loader.settings.engine);
     let chunk_set = {
-        let chunk_cache = loader.carrier.chunk_cache.borrow();
+        let chunk_cache = loader.distributor.chunk_cache.borrow();
         chunk_cache
             .get(&model_version.model, model_version.version)
             .cloned()
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -14,7 +14,7 @@
         error::{Error, Step},
         items::Reader,
         log, message,
-        weights::{Carrier, GatewayPlace, peers},
+        weights::{Distributor, GatewayLocation, peers},
     },
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
@@ -59,7 +59,7 @@
     /// Digest of the engines and origins in that configuration.
     pub weights_digest: u64,
     /// Unreleased versions that it reports as available.
-    pub unnamed: Vec<message::Unnamed>,
+    pub unnamed: Vec<message::UnreleasedVersion>,
 }
 
 /// A machine with an engine of the same service.
@@ -89,7 +89,7 @@
     /// Parser of store items.
     pub items: Reader,
     /// Chunk cache and transfers.
-    pub carrier: Rc<Carrier>,
+    pub distributor: Rc<Distributor>,
     /// Subscribed gateways by address.
     pub subscribers: RefCell<BTreeMap<SocketAddr, Subscriber>>,
     /// Last report of the engine; none while it doesn't respond.
@@ -117,13 +117,13 @@
     /// Creates a loader without any data.
     pub fn new(settings: Settings, dialect: &'static dyn Dialect) -> Self {
         let link = settings.link_bits_per_second;
-        let carrier = Rc::new(Carrier::for_engine(dialect, settings.engine, link));
+        let distributor = Rc::new(Distributor::for_engine(dialect, settings.engine, link));
         Self {
             seeds: Self::seeds(&settings),
             settings,
             dialect,
             items: Reader::new(dialect),
-            carrier,
+            distributor,
             engine_lock: Mutex::new(()),
             subscribers: RefCell::default(),
             report: RefCell::default(),
@@ -226,9 +226,9 @@
     }
 
     /// Subscribed gateways.
-    pub fn gateways(&self) -> Vec<GatewayPlace> {
+    pub fn gateways(&self) -> Vec<GatewayLocation> {
         let subscribers = self.subscribers.borrow();
-        let location = |(address, subscriber): (&SocketAddr, &Subscriber)| GatewayPlace {
+        let location = |(address, subscriber): (&SocketAddr, &Subscriber)| GatewayLocation {
             address: *address,
             zone: subscriber.zone.clone(),
         };
@@ -341,7 +341,7 @@
     let loader = Rc::new(Loader::new(settings, dialect));
     actix_rt::spawn(clock::watch());
     actix_rt::spawn(sync::run(loader.clone()));
-    actix_rt::spawn(peers::serve(loader.carrier.clone(), listener));
+    actix_rt::spawn(peers::serve(loader.distributor.clone(), listener));
     actix_rt::spawn(report::receive_subscriptions(
         loader.clone(),
         socket.clone(),
--- a/crates/gingerpier_gateway/src/loader/report.rs
+++ b/crates/gingerpier_gateway/src/loader/report.rs
@@ -5,7 +5,7 @@
     crate::{
         client::Client,
         clock,
-        message::{self, Datagram, Load, Member, Names, Subscribe},
+        message::{self, Datagram, GatewayList, Load, Member, Subscribe},
     },
     gingerpier_base::order,
     gingerpier_serving::{dialect::Named, naming::Teller, report::Report},
@@ -162,7 +162,7 @@
         let version = loader.loaded_version(&model)?;
         Some(Named { model, version })
     });
-    *loader.carrier.served.borrow_mut() = served;
+    *loader.distributor.served.borrow_mut() = served;
     is_new
 }
 
@@ -194,7 +194,7 @@
         return;
     }
     let gateways = gateway_page(subscribers, round as usize);
-    let list = message::encode(&Datagram::Names(Names {
+    let list = message::encode(&Datagram::GatewayList(GatewayList {
         gateways,
         probe: None,
     }));
--- a/crates/gingerpier_gateway/src/loader/update.rs
+++ b/crates/gingerpier_gateway/src/loader/update.rs
@@ -136,15 +136,19 @@
             continue;
         }
         for update in &updates {
-            if loader.carrier.cached_fraction(&update.model_version) < MIN_FRACTION_TO_FINISH {
+            if loader.distributor.cached_fraction(&update.model_version) < MIN_FRACTION_TO_FINISH {
                 loader
-                    .carrier
+                    .distributor
                     .cancel_fetch(&update.model_version, &update.task);
             }
         }
         let loaded = loader.loaded_version(&target.model);
         tracing::info!(version = target.version.0, held = ?loaded, "weights wanted");
-        loader.carrier.fetching.borrow_mut().push(target.clone());
+        loader
+            .distributor
+            .fetching
+            .borrow_mut()
+            .push(target.clone());
         let task = actix_rt::spawn(fetch_and_activate(loader.clone(), target.clone()));
         updates.push(Update {
             model_version: target,
@@ -173,7 +177,7 @@
     for update in updates.iter().filter(is_outdated) {
         if !loader.is_complete(update.model_version.version) {
             loader
-                .carrier
+                .distributor
                 .cancel_fetch(&update.model_version, &update.task);
         }
     }
@@ -184,7 +188,7 @@
 }
 
 async fn fetch_and_activate(loader: Rc<Loader>, target: Named) {
-    let model_version = fetch::fetch(&loader.carrier, || fetch_spec(&loader, &target)).await;
+    let model_version = fetch::fetch(&loader.distributor, || fetch_spec(&loader, &target)).await;
     loader.mark_complete(model_version.version);
     let mut failures = 0;
     loop {
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -34,7 +34,7 @@
     }
 
     /// Records a release that the gateway `source` reported.
-    pub fn record_peer_release(&self, release: message::Naming, source: Teller) {
+    pub fn record_peer_release(&self, release: message::ReportedRelease, source: Teller) {
         let model_version = Named {
             model: release.model,
             version: Version(release.version),
--- a/crates/gingerpier_gateway/src/loader/wait_log.rs
+++ b/crates/gingerpier_gateway/src/loader/wait_log.rs
@@ -48,7 +48,7 @@
             continue;
         }
         last = Some((wait, now));
-        let chunk_cache = loader.carrier.chunk_cache.borrow();
+        let chunk_cache = loader.distributor.chunk_cache.borrow();
         let chunk_set = target
             .as_ref()
             .and_then(|target| chunk_cache.get(&target.model, target.version));
@@ -82,7 +82,7 @@
     if loader.loaded_version(&target.model) >= Some(target.version) {
         return None;
     }
-    let chunk_cache = loader.carrier.chunk_cache.borrow();
+    let chunk_cache = loader.distributor.chunk_cache.borrow();
     let wait = match chunk_cache.get(&target.model, target.version) {
         None => WaitReason::Manifest,
         Some(chunk_set) if chunk_set.is_complete() => WaitReason::Turn,
--- a/crates/gingerpier_gateway/src/members.rs
+++ b/crates/gingerpier_gateway/src/members.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         clock,
-        message::{self, Datagram, Member, Names, Probe, ToldMember},
+        message::{self, Datagram, GatewayList, Member, MemberUpdate, Probe},
         metrics::Kind,
         state::State,
     },
@@ -40,7 +40,7 @@
 pub fn respond(state: &State, socket: &UdpSocket, from: SocketAddr, probe: &Probe) {
     let mut zones = state.zones.borrow_mut();
     apply_updates(&mut zones, from, probe);
-    let response = Datagram::Names(Names {
+    let response = Datagram::GatewayList(GatewayList {
         gateways: Vec::new(),
         probe: Some(probe_for(&mut zones, from)),
     });
@@ -64,7 +64,7 @@
 fn probe_for(zones: &mut Exchange, receiver: SocketAddr) -> Probe {
     let liveness = zones.liveness();
     let updates = liveness.news_for(receiver).into_iter();
-    let updates = updates.map(|update| ToldMember {
+    let updates = updates.map(|update| MemberUpdate {
         address: update.member,
         incarnation: update.incarnation,
         is_gone: update.is_gone,
--- a/crates/gingerpier_gateway/src/message/figures.rs
+++ b/crates/gingerpier_gateway/src/message/configuration.rs
@@ -1,7 +1,7 @@
 //! Messages with the part of the configuration and the engines that loaders need.
 
 use {
-    super::{DigestHeld, Naming},
+    super::{IndexedVersion, ReportedRelease},
     minicbor::{Decode, Encode},
     std::net::SocketAddr,
 };
@@ -9,7 +9,7 @@
 /// Performance model of engines, as configured by operators.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
-pub struct EngineFigures {
+pub struct EngineParameters {
     /// Requests that run concurrently.
     #[n(0)]
     pub slots: u32,
@@ -48,7 +48,7 @@
 /// Origin server of weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct OriginFigures {
+pub struct OriginParameters {
     /// Server address.
     #[n(0)]
     pub address: SocketAddr,
@@ -62,19 +62,19 @@
 
 /// Kind of a service.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
-pub enum ServiceFigures {
+pub enum ServiceParameters {
     /// Model engines.
     #[n(0)]
-    Engines(#[n(0)] EngineFigures),
+    Engines(#[n(0)] EngineParameters),
     /// Origin of weights.
     #[n(1)]
-    Origin(#[n(0)] OriginFigures),
+    Origin(#[n(0)] OriginParameters),
 }
 
 /// A service that loaders need.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
-pub struct ToldService {
+pub struct ServiceEntry {
     /// Service name.
     #[n(0)]
     pub name: String,
@@ -83,12 +83,12 @@
     pub max_connections: u32,
     /// Kind and parameters.
     #[n(2)]
-    pub figures: ServiceFigures,
+    pub figures: ServiceParameters,
 }
 
 /// An engine that loaders need.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct ToldEngine {
+pub struct EngineEntry {
     /// Engine address.
     #[n(0)]
     pub address: SocketAddr,
@@ -100,13 +100,13 @@
     pub zone: u32,
     /// Loaded weights.
     #[n(3)]
-    pub held: Vec<DigestHeld>,
+    pub held: Vec<IndexedVersion>,
 }
 
 /// Configuration and engines for a loader, sent by a gateway.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
-pub struct Figures {
+pub struct ConfigurationPart {
     /// Configuration version.
     #[n(0)]
     pub version: u64,
@@ -115,7 +115,7 @@
     pub weights_digest: u64,
     /// Engine and origin services.
     #[n(2)]
-    pub services: Vec<ToldService>,
+    pub services: Vec<ServiceEntry>,
     /// Zone names; engines refer to them by index.
     #[n(3)]
     pub zones: Vec<String>,
@@ -124,8 +124,8 @@
     pub models: Vec<String>,
     /// Known engines.
     #[n(5)]
-    pub engines: Vec<ToldEngine>,
+    pub engines: Vec<EngineEntry>,
     /// Released versions.
     #[cbor(n(6), default)]
-    pub named: Vec<Naming>,
+    pub named: Vec<ReportedRelease>,
 }
--- a/crates/gingerpier_gateway/src/message/mod.rs
+++ b/crates/gingerpier_gateway/src/message/mod.rs
@@ -1,13 +1,16 @@
 //! Messages between gateways and loaders, encoded in CBOR with numbered fields.
 
-mod figures;
+mod configuration;
 mod snapshot;
 mod suspects;
 
 pub use {
-    figures::{EngineFigures, Figures, OriginFigures, ServiceFigures, ToldEngine, ToldService},
-    snapshot::{SharedItem, Snapshot},
-    suspects::{Suspects, ToldCleared, ToldEnd, ToldPardon, ToldTrial},
+    configuration::{
+        ConfigurationPart, EngineEntry, EngineParameters, OriginParameters, ServiceEntry,
+        ServiceParameters,
+    },
+    snapshot::{Snapshot, StoreItem},
+    suspects::{CompletionUpdate, CrashUpdate, DismissalUpdate, Suspects, TrialUpdate},
 };
 use {
     gingerpier_serving::report::{Born, Held, Report, Version},
@@ -18,7 +21,7 @@
 /// Loaded weights of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Weights {
+pub struct LoadedVersion {
     /// Model name.
     #[n(0)]
     pub model: String,
@@ -30,7 +33,7 @@
 /// A released version of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Naming {
+pub struct ReportedRelease {
     /// Model name.
     #[n(0)]
     pub model: String,
@@ -45,7 +48,7 @@
 /// An available version of a model without a release.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Unnamed {
+pub struct UnreleasedVersion {
     /// Model name.
     #[n(0)]
     pub model: String,
@@ -66,7 +69,7 @@
     pub zone: String,
     /// Releases known to the gateway.
     #[n(1)]
-    pub named: Vec<Naming>,
+    pub named: Vec<ReportedRelease>,
     /// Send time in milliseconds of the gateway's own clock.
     #[cbor(n(2), default)]
     pub stamp: u64,
@@ -78,7 +81,7 @@
     pub weights_digest: u64,
     /// Available versions of models without a release.
     #[cbor(n(5), default)]
-    pub unnamed: Vec<Unnamed>,
+    pub unnamed: Vec<UnreleasedVersion>,
 }
 
 /// A gateway.
@@ -105,12 +108,12 @@
     pub incarnation: u64,
     /// Membership updates of the zone.
     #[n(1)]
-    pub news: Vec<ToldMember>,
+    pub news: Vec<MemberUpdate>,
 }
 
 /// Membership update of one gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldMember {
+pub struct MemberUpdate {
     /// Gateway address.
     #[n(0)]
     pub address: SocketAddr,
@@ -131,7 +134,7 @@
     pub engine: String,
     /// Loaded weights.
     #[n(1)]
-    pub held: Vec<Weights>,
+    pub held: Vec<LoadedVersion>,
     /// True while the engine carries out an order or is about to receive one.
     #[n(2)]
     pub is_busy: bool,
@@ -166,7 +169,7 @@
 
 /// Loaded weights of an engine in a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct DigestHeld {
+pub struct IndexedVersion {
     /// Index into the models of the digest.
     #[n(0)]
     pub model: u32,
@@ -186,7 +189,7 @@
     pub age: u32,
     /// Loaded weights.
     #[n(2)]
-    pub held: Vec<DigestHeld>,
+    pub held: Vec<IndexedVersion>,
     /// True while the engine carries out an order or is about to receive one.
     #[n(3)]
     pub is_busy: bool,
@@ -260,7 +263,7 @@
     Hello(#[n(0)] Member),
     /// From a gateway or a loader: known gateways.
     #[n(4)]
-    Names(#[n(0)] Names),
+    GatewayList(#[n(0)] GatewayList),
     /// From a gateway to another one.
     #[n(5)]
     Suspects(#[n(0)] Suspects),
@@ -269,7 +272,7 @@
 /// List of gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Names {
+pub struct GatewayList {
     /// Known gateways.
     #[n(0)]
     pub gateways: Vec<Member>,
@@ -278,7 +281,7 @@
     pub probe: Option<Probe>,
 }
 
-impl DigestHeld {
+impl IndexedVersion {
     /// Encodes `held` and adds its model to `models`; none if `models` already has `max_models`
     /// others.
     pub fn new(held: &Held, models: &mut Vec<String>, max_models: usize) -> Option<Self> {
@@ -308,7 +311,7 @@
 impl Load {
     /// Load message for the `report` of the engine at `engine`.
     pub fn new(engine: String, report: &Report) -> Self {
-        let held = report.held.iter().map(|held| Weights {
+        let held = report.held.iter().map(|held| LoadedVersion {
             model: held.model.clone(),
             version: held.version.0,
         });
--- a/crates/gingerpier_gateway/src/message/snapshot.rs
+++ b/crates/gingerpier_gateway/src/message/snapshot.rs
@@ -8,7 +8,7 @@
 /// A store item.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct SharedItem {
+pub struct StoreItem {
     /// Store key.
     #[n(0)]
     pub key: String,
@@ -32,13 +32,13 @@
     pub at: u64,
     /// Items, or changed items.
     #[n(1)]
-    pub items: Vec<SharedItem>,
+    pub items: Vec<StoreItem>,
     /// True if `items` has changes only.
     #[cbor(n(2), default)]
     pub is_changes: bool,
 }
 
-impl SharedItem {
+impl StoreItem {
     /// Encodes an item.
     pub fn new(item: Item) -> Self {
         Self {
--- a/crates/gingerpier_gateway/src/message/suspects.rs
+++ b/crates/gingerpier_gateway/src/message/suspects.rs
@@ -15,26 +15,26 @@
 /// Fingerprint of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
-pub struct ToldMark(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH]);
+pub struct FingerprintBytes(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH]);
 
-impl From<Mark> for ToldMark {
+impl From<Mark> for FingerprintBytes {
     fn from(mark: Mark) -> Self {
         Self(mark.0)
     }
 }
 
-impl From<ToldMark> for Mark {
-    fn from(told: ToldMark) -> Self {
+impl From<FingerprintBytes> for Mark {
+    fn from(told: FingerprintBytes) -> Self {
         Self(told.0)
     }
 }
 
 /// A request ran on an engine when that crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldEnd {
+pub struct CrashUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: ToldMark,
+    pub mark: FingerprintBytes,
     /// Hash of the client account.
     #[n(1)]
     pub account: u32,
@@ -49,7 +49,7 @@
     pub age: u64,
 }
 
-impl ToldEnd {
+impl CrashUpdate {
     /// Encodes `end` at `now`.
     pub fn new(end: &End, now: Instant) -> Self {
         Self {
@@ -75,10 +75,10 @@
 
 /// A request ran to completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldCleared {
+pub struct CompletionUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: ToldMark,
+    pub mark: FingerprintBytes,
     /// Version of the weights that served it.
     #[n(1)]
     pub version: u64,
@@ -86,10 +86,10 @@
 
 /// An operator dismissed an engine's crash as evidence against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldPardon {
+pub struct DismissalUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: ToldMark,
+    pub mark: FingerprintBytes,
     /// Hash of the client account.
     #[n(1)]
     pub account: u32,
@@ -100,10 +100,10 @@
 
 /// Start or end of a trial run of a request that may crash engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldTrial {
+pub struct TrialUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: ToldMark,
+    pub mark: FingerprintBytes,
     /// Gateway that runs the trial.
     #[n(1)]
     pub by: SocketAddr,
@@ -115,7 +115,7 @@
     pub is_over: bool,
 }
 
-impl ToldTrial {
+impl TrialUpdate {
     /// Encodes `trial`.
     pub fn new(trial: &Trial, is_over: bool) -> Self {
         Self {
@@ -142,16 +142,16 @@
 pub struct Suspects {
     /// Crashes.
     #[cbor(n(0), default)]
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<CrashUpdate>,
     /// Requests that ran to completion.
     #[cbor(n(1), default)]
-    pub cleared: Vec<ToldCleared>,
+    pub cleared: Vec<CompletionUpdate>,
     /// Dismissed crashes.
     #[cbor(n(2), default)]
-    pub pardons: Vec<ToldPardon>,
+    pub pardons: Vec<DismissalUpdate>,
     /// Trials.
     #[cbor(n(3), default)]
-    pub trials: Vec<ToldTrial>,
+    pub trials: Vec<TrialUpdate>,
     /// True if the recipient forwards new entries to the other gateways of its zone.
     #[cbor(n(4), default)]
     pub is_to_pass_on: bool,
--- a/crates/gingerpier_gateway/src/relay.rs
+++ b/crates/gingerpier_gateway/src/relay.rs
@@ -7,7 +7,7 @@
     crate::{
         client::{Client, MAX_ANSWER_BYTES},
         clock, compression,
-        message::{self, SharedItem, Snapshot},
+        message::{self, Snapshot, StoreItem},
         metrics::Kind,
         state::State,
     },
@@ -195,8 +195,8 @@
 ///
 /// # Errors
 ///
-/// If the gateway doesn't respond, or its last contact with the store is older than `max_age_millis`
-/// milliseconds.
+/// If the gateway doesn't respond, or its last contact with the store is older than
+/// `max_age_millis` milliseconds.
 pub async fn ask_watcher(
     state: &State,
     client: &mut Client,
@@ -353,7 +353,7 @@
 fn apply_snapshot(state: &State, received: ReceivedSnapshot) {
     let at = Revision(received.snapshot.at);
     let items = received.snapshot.items.into_iter();
-    let items = items.map(SharedItem::item).collect();
+    let items = items.map(StoreItem::item).collect();
     if received.snapshot.is_changes {
         state.apply(items, at);
     } else {
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -138,7 +138,7 @@
                 Some(probe) => members::respond(&state, &socket, from, probe),
                 None => discovery::answer(&state, &socket, from, member),
             },
-            Some(Datagram::Names(names)) => {
+            Some(Datagram::GatewayList(names)) => {
                 record_gateways(&state, &names.gateways);
                 if let Some(probe) = &names.probe {
                     members::apply_updates(&mut state.zones.borrow_mut(), from, probe);
--- a/crates/gingerpier_gateway/src/snapshots.rs
+++ b/crates/gingerpier_gateway/src/snapshots.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         compression,
-        message::{self, SharedItem, Snapshot},
+        message::{self, Snapshot, StoreItem},
     },
     bytes::Bytes,
     gingerpier_serving::mirror::{Mirror, Revision},
@@ -68,7 +68,7 @@
     let items = changes.unwrap_or_else(|| mirror.items().collect());
     let body = message::encode(&Snapshot {
         at: key.at.0,
-        items: items.into_iter().map(SharedItem::new).collect(),
+        items: items.into_iter().map(StoreItem::new).collect(),
         is_changes,
     });
     let compressed = key.may_compress.then(|| compression::compress(&body));
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -17,7 +17,7 @@
         pool::Pool,
         snapshots::Snapshots,
         suspects::SuspectState,
-        weights::{Carrier, GatewayPlace},
+        weights::{Distributor, GatewayLocation},
     },
     gingerpier_base::Instant,
     gingerpier_serving::{
@@ -76,7 +76,7 @@
     /// Requests that are suspected of crashing engines.
     pub suspect_state: SuspectState,
     /// Distribution of weights through this gateway.
-    pub carrier: Rc<Carrier>,
+    pub distributor: Rc<Distributor>,
     /// True once a termination signal arrived.
     pub is_stopping: Cell<bool>,
     /// True once the stopping gateway refuses new requests.
@@ -131,7 +131,7 @@
             first_loaders: RefCell::default(),
             snapshots: Snapshots::default(),
             suspect_state: SuspectState::default(),
-            carrier: Rc::new(Carrier::new(dialect)),
+            distributor: Rc::new(Distributor::new(dialect)),
             is_stopping: Cell::new(false),
             is_closed: Cell::new(false),
             closing: Notify::new(),
@@ -322,10 +322,10 @@
     }
 
     /// Gateways of all zones that are alive.
-    pub fn living_gateways(&self) -> BTreeSet<GatewayPlace> {
+    pub fn living_gateways(&self) -> BTreeSet<GatewayLocation> {
         let zones = self.zones.borrow();
         let alive = zones.living(clock::now());
-        let location = |(zone, address): (&str, SocketAddr)| GatewayPlace {
+        let location = |(zone, address): (&str, SocketAddr)| GatewayLocation {
             address,
             zone: zone.to_owned(),
         };
--- a/crates/gingerpier_gateway/src/state/naming.rs
+++ b/crates/gingerpier_gateway/src/state/naming.rs
@@ -68,12 +68,12 @@
     }
 
     /// Newest release of each model, with its age, for loaders.
-    pub fn releases(&self) -> Vec<message::Naming> {
+    pub fn releases(&self) -> Vec<message::ReportedRelease> {
         let now = clock::now();
         let releases = self.releases.borrow();
         let newest = |(model, model_releases): (&String, &Namings)| {
             let newest = model_releases.newest()?;
-            Some(message::Naming {
+            Some(message::ReportedRelease {
                 model: model.clone(),
                 version: newest.version.0,
                 age: now.millis_since(newest.at),
--- a/crates/gingerpier_gateway/src/state/unnamed.rs
+++ b/crates/gingerpier_gateway/src/state/unnamed.rs
@@ -58,7 +58,7 @@
 
     /// Versions for loaders of models without a release; none for a model that all engines have
     /// loaded, which keeps subscriptions short.
-    pub fn unreleased_versions(&self) -> Vec<message::Unnamed> {
+    pub fn unreleased_versions(&self) -> Vec<message::UnreleasedVersion> {
         let Some(configuration) = self.configuration() else {
             return Vec::new();
         };
@@ -69,7 +69,7 @@
             }
             let known = self.known_weights(service, model);
             let version = known.wanted()?;
-            Some(message::Unnamed {
+            Some(message::UnreleasedVersion {
                 model: model.to_owned(),
                 version: version.0,
                 is_found: known.found.is_some(),
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -10,7 +10,8 @@
     crate::{
         clock,
         message::{
-            self, Datagram, Suspects as Message, ToldCleared, ToldEnd, ToldPardon, ToldTrial,
+            self, CompletionUpdate, CrashUpdate, Datagram, DismissalUpdate, Suspects as Message,
+            TrialUpdate,
         },
         metrics::Kind,
         state::State,
@@ -62,8 +63,8 @@
 struct Outbox {
     crashes: Vec<End>,
     completions: Vec<(Mark, Version)>,
-    dismissals: Vec<ToldPardon>,
-    trial_updates: Vec<ToldTrial>,
+    dismissals: Vec<DismissalUpdate>,
+    trial_updates: Vec<TrialUpdate>,
     repeats: VecDeque<(Instant, Vec<End>)>,
 }
 
@@ -142,7 +143,7 @@
 
     /// Announces to other gateways that a trial of this gateway begins or is over.
     pub fn announce_trial(&self, trial: &Trial, is_over: bool) {
-        let update = ToldTrial::new(trial, is_over);
+        let update = TrialUpdate::new(trial, is_over);
         self.suspect_state
             .outbox
             .borrow_mut()
@@ -164,7 +165,7 @@
         let mut outbox = self.suspect_state.outbox.borrow_mut();
         for (fingerprint, account) in &held {
             for engine in suspects.pardon(*fingerprint) {
-                outbox.dismissals.push(ToldPardon {
+                outbox.dismissals.push(DismissalUpdate {
                     mark: (*fingerprint).into(),
                     account: *account,
                     engine: engine.0,
@@ -254,19 +255,19 @@
                 .flat_map(|(_, crashes)| crashes),
         );
     }
-    let crashes: Vec<ToldEnd> = crashes
+    let crashes: Vec<CrashUpdate> = crashes
         .iter()
-        .map(|crash| ToldEnd::new(crash, now))
+        .map(|crash| CrashUpdate::new(crash, now))
         .collect();
     let completions = std::mem::take(&mut outbox.completions).into_iter();
-    let completions: Vec<ToldCleared> = completions.map(completion_update).collect();
+    let completions: Vec<CompletionUpdate> = completions.map(completion_update).collect();
     let dismissals = std::mem::take(&mut outbox.dismissals);
     let trial_updates = std::mem::take(&mut outbox.trial_updates);
     split_into_messages(&crashes, &completions, &dismissals, &trial_updates)
 }
 
-fn completion_update((fingerprint, version): (Mark, Version)) -> ToldCleared {
-    ToldCleared {
+fn completion_update((fingerprint, version): (Mark, Version)) -> CompletionUpdate {
+    CompletionUpdate {
         mark: fingerprint.into(),
         version: version.0,
     }
@@ -274,10 +275,10 @@
 
 /// Splits updates into messages that fit into datagrams.
 fn split_into_messages(
-    crashes: &[ToldEnd],
-    completions: &[ToldCleared],
-    dismissals: &[ToldPardon],
-    trial_updates: &[ToldTrial],
+    crashes: &[CrashUpdate],
+    completions: &[CompletionUpdate],
+    dismissals: &[DismissalUpdate],
+    trial_updates: &[TrialUpdate],
 ) -> Vec<Message> {
     let counts = [
         crashes.len(),
@@ -392,9 +393,9 @@
 }
 
 /// Applies an update; returns the part of it that is new here, and completions that refute it.
-fn apply_update(state: &State, update: &Message, now: Instant) -> (Message, Vec<ToldCleared>) {
+fn apply_update(state: &State, update: &Message, now: Instant) -> (Message, Vec<CompletionUpdate>) {
     let mut news = Message::default();
-    let mut refutations: Vec<ToldCleared> = Vec::new();
+    let mut refutations: Vec<CompletionUpdate> = Vec::new();
     for report in &update.ends {
         let crash = report.end(now);
         let engine_count = state.engine_count();
@@ -447,19 +448,19 @@
 /// Messages with all serious cases.
 fn serious_cases(suspects: &Suspects, now: Instant) -> Vec<Message> {
     let crashes = suspects.grave().flat_map(|(_, case)| &case.ends);
-    let crashes: Vec<ToldEnd> = crashes.map(|crash| ToldEnd::new(crash, now)).collect();
+    let crashes: Vec<CrashUpdate> = crashes.map(|crash| CrashUpdate::new(crash, now)).collect();
     let completions = suspects
         .grave()
         .filter_map(|(fingerprint, case)| Some((fingerprint, case.cleared?)));
-    let completions: Vec<ToldCleared> = completions.map(completion_update).collect();
+    let completions: Vec<CompletionUpdate> = completions.map(completion_update).collect();
     let dismissals = suspects.grave().flat_map(|(fingerprint, case)| {
-        case.pardoned.iter().map(move |engine| ToldPardon {
+        case.pardoned.iter().map(move |engine| DismissalUpdate {
             mark: fingerprint.into(),
             account: case.account,
             engine: engine.0,
         })
     });
-    let dismissals: Vec<ToldPardon> = dismissals.collect();
+    let dismissals: Vec<DismissalUpdate> = dismissals.collect();
     split_into_messages(&crashes, &completions, &dismissals, &[])
 }
 
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Carrier, cache, manifest,
+        Distributor, cache, manifest,
         request::{ChunkRequest, Event},
         sources::{FetchSpec, Sources},
     },
@@ -47,12 +47,12 @@
 /// Fetches a whole version as `spec` describes and returns the version that was found.
 ///
 /// Evaluates `spec` again when the fetch stalls, and restarts with its sources if they changed.
-pub async fn fetch(carrier: &Rc<Carrier>, spec: impl Fn() -> FetchSpec) -> Named {
+pub async fn fetch(distributor: &Rc<Distributor>, spec: impl Fn() -> FetchSpec) -> Named {
     loop {
         let current = spec();
         tokio::select! {
-            model_version = fetch_with(carrier, &current) => return model_version,
-            () = wait_for_changed_sources(carrier, &current, &spec) => {
+            model_version = fetch_with(distributor, &current) => return model_version,
+            () = wait_for_changed_sources(distributor, &current, &spec) => {
                 tracing::info!(version = current.model_version.version.0, "fetch restarted with changed sources");
             }
         }
@@ -61,14 +61,14 @@
 
 /// Returns once no chunk arrived for a while and `spec` has other sources than `current`.
 async fn wait_for_changed_sources(
-    carrier: &Carrier,
+    distributor: &Distributor,
     current: &FetchSpec,
     spec: &impl Fn() -> FetchSpec,
 ) {
-    let mut last_count = carrier.cached_count(&current.model_version);
+    let mut last_count = distributor.cached_count(&current.model_version);
     loop {
         clock::pause(SOURCE_CHECK_MILLIS).await;
-        let count = carrier.cached_count(&current.model_version);
+        let count = distributor.cached_count(&current.model_version);
         let latest = spec();
         let has_changed = latest.peers != current.peers || latest.origin != current.origin;
         if count == last_count && has_changed {
@@ -78,15 +78,15 @@
     }
 }
 
-async fn fetch_with(carrier: &Rc<Carrier>, spec: &FetchSpec) -> Named {
+async fn fetch_with(distributor: &Rc<Distributor>, spec: &FetchSpec) -> Named {
     let sources = Rc::new(Sources::new(spec));
     loop {
         let model_version =
-            manifest::fetch(carrier, &sources, &spec.route, &spec.model_version).await;
-        copy_shared_chunks(carrier, &model_version);
-        read_staged_chunks(carrier, &model_version).await;
+            manifest::fetch(distributor, &sources, &spec.route, &spec.model_version).await;
+        copy_shared_chunks(distributor, &model_version);
+        read_staged_chunks(distributor, &model_version).await;
         let download = Download::new(
-            carrier.clone(),
+            distributor.clone(),
             sources.clone(),
             spec,
             model_version.clone(),
@@ -95,7 +95,7 @@
             return model_version;
         }
         // If even the origin's chunks mismatch, the manifest is likely corrupt.
-        let mut chunk_cache = carrier.chunk_cache.borrow_mut();
+        let mut chunk_cache = distributor.chunk_cache.borrow_mut();
         chunk_cache.remove(&model_version.model, model_version.version);
     }
 }
@@ -110,8 +110,8 @@
 }
 
 /// Copies chunks that another cached version shares.
-fn copy_shared_chunks(carrier: &Carrier, model_version: &Named) {
-    let shared = carrier
+fn copy_shared_chunks(distributor: &Distributor, model_version: &Named) {
+    let shared = distributor
         .chunk_cache
         .borrow_mut()
         .copy_shared_chunks(&model_version.model, model_version.version);
@@ -125,25 +125,27 @@
 }
 
 /// Reads chunks that are staged at the engine.
-async fn read_staged_chunks(carrier: &Rc<Carrier>, model_version: &Named) {
-    let Some(manifest) = carrier.manifest(model_version) else {
+async fn read_staged_chunks(distributor: &Rc<Distributor>, model_version: &Named) {
+    let Some(manifest) = distributor.manifest(model_version) else {
         return;
     };
-    let served = carrier.served.borrow().clone();
+    let served = distributor.served.borrow().clone();
     if served.is_some_and(|served| served != *model_version) {
         // The engine's staging area contains another version.
         return;
     }
-    let Some(engine) = carrier.engine else { return };
+    let Some(engine) = distributor.engine else {
+        return;
+    };
     let mut client = Client::new(engine);
     for chunk in 0..manifest.digests.len() as u32 {
-        let call = carrier.dialect.laid_chunk(&model_version.model, chunk);
+        let call = distributor.dialect.laid_chunk(&model_version.model, chunk);
         let Ok(response) = client.call(&call, ENGINE_TIMEOUT_MILLIS).await else {
             return;
         };
         let is_present = response.head.status == 200;
         if is_present && cache::matches_digest(&manifest, chunk, &response.body) {
-            carrier.insert_chunk(model_version, chunk, response.body);
+            distributor.insert_chunk(model_version, chunk, response.body);
         } else if chunk == 0 {
             return;
         }
@@ -152,7 +154,7 @@
 
 /// A running download of a version.
 struct Download {
-    carrier: Rc<Carrier>,
+    distributor: Rc<Distributor>,
     sources: Rc<Sources>,
     model_version: Named,
     fetch: Fetch,
@@ -180,7 +182,7 @@
 
 impl Download {
     fn new(
-        carrier: Rc<Carrier>,
+        distributor: Rc<Distributor>,
         sources: Rc<Sources>,
         spec: &FetchSpec,
         model_version: Named,
@@ -190,11 +192,11 @@
             patience_millis: spec.attempt_timeout_millis,
             ..TERMS
         };
-        let manifest = carrier.manifest(&model_version);
+        let manifest = distributor.manifest(&model_version);
         let count = manifest.map_or(0, |manifest| manifest.digests.len());
         let origin_chunks = spec.route.entries(count as u32);
         let mut fetch = Fetch::along(terms, spec.route.clone(), count as u32);
-        let chunk_cache = carrier.chunk_cache.borrow();
+        let chunk_cache = distributor.chunk_cache.borrow();
         if let Some(chunk_set) = chunk_cache.get(&model_version.model, model_version.version) {
             for chunk in 0..count as u32 {
                 if chunk_set.chunk(chunk).is_some() {
@@ -207,12 +209,12 @@
         for chunk in origin_chunks {
             fetch.want(chunk);
         }
-        if let Some(width) = carrier.sustained_peer_requests.get() {
+        if let Some(width) = distributor.sustained_peer_requests.get() {
             fetch.start_with(width);
         }
         let (sender, events) = unbounded_channel();
         Self {
-            carrier,
+            distributor,
             sources,
             model_version,
             fetch,
@@ -256,7 +258,7 @@
                     }
                     Action::Complete => {
                         let took = clock::now().millis_since(started);
-                        self.carrier
+                        self.distributor
                             .sustained_peer_requests
                             .set(Some(self.fetch.width()));
                         tracing::info!(
@@ -337,7 +339,7 @@
             return;
         };
         let request = ChunkRequest {
-            carrier: self.carrier.clone(),
+            distributor: self.distributor.clone(),
             model_version: self.model_version.clone(),
             sources: self.sources.clone(),
             pool: self.pool.clone(),
--- a/crates/gingerpier_gateway/src/weights/manifest.rs
+++ b/crates/gingerpier_gateway/src/weights/manifest.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Carrier,
+        Distributor,
         cache::{ChunkCache, ChunkSet},
         peers::{Mode, PeerRequest},
         sources::Sources,
@@ -37,7 +37,7 @@
 ///
 /// Polls all sources concurrently, because any of them may be down for seconds.
 pub async fn fetch(
-    carrier: &Rc<Carrier>,
+    distributor: &Rc<Distributor>,
     sources: &Rc<Sources>,
     route: &Route,
     model_version: &Named,
@@ -47,7 +47,7 @@
             .get(&model_version.model, model_version.version)
             .is_some()
     };
-    if is_cached(&carrier.chunk_cache.borrow()) {
+    if is_cached(&distributor.chunk_cache.borrow()) {
         return model_version.clone();
     }
     let mut route_sources = Vec::new();
@@ -71,7 +71,7 @@
         };
         let request = async move {
             clock::pause(delay).await;
-            poll_source(carrier, source, address, model_version).await
+            poll_source(distributor, source, address, model_version).await
         };
         request.boxed_local()
     });
@@ -81,7 +81,7 @@
         return std::future::pending().await;
     }
     let (fetched, _, _) = future::select_all(requests).await;
-    cache_manifest(carrier, fetched)
+    cache_manifest(distributor, fetched)
 }
 
 /// A parsed manifest and its source.
@@ -93,7 +93,7 @@
 
 /// Polls one source until it returns the manifest.
 async fn poll_source(
-    carrier: &Carrier,
+    distributor: &Distributor,
     source: Source,
     address: SocketAddr,
     model_version: &Named,
@@ -102,13 +102,13 @@
     let mut is_logged = false;
     loop {
         let bytes = match source {
-            Source::Origin => read_from_origin(carrier, &mut client, model_version).await,
+            Source::Origin => read_from_origin(distributor, &mut client, model_version).await,
             Source::Replica(_) | Source::Holder(_) => {
                 read_from_peer(&mut client, model_version).await
             }
         };
         let manifest = bytes.and_then(|bytes| {
-            let manifest = carrier.dialect.read_manifest(200, &bytes).ok()?;
+            let manifest = distributor.dialect.read_manifest(200, &bytes).ok()?;
             Some((manifest, bytes))
         });
         if let Some((manifest, bytes)) = manifest {
@@ -128,15 +128,15 @@
 /// Reads the manifest of `model_version` from the origin and caches it; version 0 stands for the
 /// newest. Returns the version that was found.
 pub async fn fetch_from_origin(
-    carrier: &Carrier,
+    distributor: &Distributor,
     origin: &mut Client,
     model_version: &Named,
 ) -> Option<Named> {
-    let bytes = read_from_origin(carrier, origin, model_version).await?;
-    let manifest = carrier.dialect.read_manifest(200, &bytes).ok()?;
+    let bytes = read_from_origin(distributor, origin, model_version).await?;
+    let manifest = distributor.dialect.read_manifest(200, &bytes).ok()?;
     let source = origin.peer();
     Some(cache_manifest(
-        carrier,
+        distributor,
         FetchedManifest {
             manifest,
             bytes,
@@ -145,7 +145,7 @@
     ))
 }
 
-fn cache_manifest(carrier: &Carrier, fetched: FetchedManifest) -> Named {
+fn cache_manifest(distributor: &Distributor, fetched: FetchedManifest) -> Named {
     let FetchedManifest {
         manifest,
         bytes,
@@ -158,24 +158,24 @@
     let chunks = manifest.digests.len();
     tracing::info!(model = model_version.model, version = model_version.version.0, chunks, %source, "manifest taken");
     let chunk_set = ChunkSet::new(manifest, bytes);
-    carrier.chunk_cache.borrow_mut().insert(chunk_set);
-    carrier.arrived.notify_waiters();
+    distributor.chunk_cache.borrow_mut().insert(chunk_set);
+    distributor.arrived.notify_waiters();
     model_version
 }
 
 /// Reads the manifest from the origin until two reads agree, as a corrupt manifest would invalidate
 /// every check against it.
 async fn read_from_origin(
-    carrier: &Carrier,
+    distributor: &Distributor,
     origin: &mut Client,
     model_version: &Named,
 ) -> Option<Bytes> {
-    let call = carrier.dialect.manifest(model_version);
+    let call = distributor.dialect.manifest(model_version);
     let mut earlier_reads: Vec<Bytes> = Vec::new();
     for _ in 0..MAX_ORIGIN_READS {
         let response = origin.call(&call, MANIFEST_TIMEOUT_MILLIS).await.ok()?;
         let status = response.head.status;
-        if carrier
+        if distributor
             .dialect
             .read_manifest(status, &response.body)
             .is_err()
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -43,7 +43,7 @@
 const MAX_UPLOADS_WIDE: usize = 64;
 
 /// Chunk cache of a process and the state of its weights transfers.
-pub struct Carrier {
+pub struct Distributor {
     /// Platform protocol.
     pub dialect: &'static dyn Dialect,
     /// Chunks in memory.
@@ -68,7 +68,7 @@
     pub sustained_peer_requests: Cell<Option<usize>>,
 }
 
-impl Carrier {
+impl Distributor {
     /// Distribution state of a loader next to `engine`, behind a narrow link.
     pub fn for_engine(
         dialect: &'static dyn Dialect,
@@ -189,7 +189,7 @@
 
 /// A gateway and its availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct GatewayPlace {
+pub struct GatewayLocation {
     /// Address for peers.
     pub address: SocketAddr,
     /// Availability zone.
@@ -207,13 +207,13 @@
 /// Relays of `version`: all `gateways`, because the loaders of a zone exceed the bandwidth of a few
 /// links. Depends only on the set of gateways, so that all processes agree.
 pub fn relay_set(
-    gateways: impl Iterator<Item = GatewayPlace>,
+    gateways: impl Iterator<Item = GatewayLocation>,
     regions: &[ZoneRegion],
     version: Version,
 ) -> RelaySet {
-    let mut gateways: Vec<GatewayPlace> = gateways.collect();
+    let mut gateways: Vec<GatewayLocation> = gateways.collect();
     gateways.sort_unstable();
-    let replica = |gateway: &GatewayPlace| Replica {
+    let replica = |gateway: &GatewayLocation| Replica {
         identity: order::hash(&gateway.address),
         region: region_hash(regions, &gateway.zone),
         zone: zone_hash(&gateway.zone),
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -1,7 +1,7 @@
 //! Serves manifests and chunks to other processes.
 
 use {
-    super::Carrier,
+    super::Distributor,
     crate::{client::Client, clock, figures, relay},
     bytes::Bytes,
     gingerpier_http1::{connection::Connection, head::Request, writer::Message},
@@ -93,13 +93,13 @@
 }
 
 /// Accepts connections and serves requests.
-pub async fn serve(carrier: Rc<Carrier>, listener: TcpListener) {
+pub async fn serve(distributor: Rc<Distributor>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let carrier = carrier.clone();
+                let distributor = distributor.clone();
                 actix_rt::spawn(async move {
-                    serve_connection(&carrier, Connection::new(stream)).await
+                    serve_connection(&distributor, Connection::new(stream)).await
                 });
             }
             Err(_) => clock::pause(ACCEPT_RETRY_MILLIS).await,
@@ -107,18 +107,18 @@
     }
 }
 
-async fn serve_connection(carrier: &Carrier, mut connection: Connection) {
-    if carrier.pace.is_some() {
+async fn serve_connection(distributor: &Distributor, mut connection: Connection) {
+    if distributor.pace.is_some() {
         connection.use_small_buffers();
     }
     loop {
         let idle_deadline = clock::now().after_millis(IDLE_TIMEOUT_MILLIS);
         let head = clock::before(idle_deadline, relay::read_head(&mut connection)).await;
         let Some(Some(request)) = head else { return };
-        let response = build_response(carrier, &request).await;
+        let response = build_response(distributor, &request).await;
         // Sends chunks one after the other and paced, as the link also carries engine responses.
-        let _permit = carrier.upload_permits.acquire().await;
-        if let Some(pace) = &carrier.pace {
+        let _permit = distributor.upload_permits.acquire().await;
+        if let Some(pace) = &distributor.pace {
             let send_at = pace.borrow_mut().reserve(response.len(), clock::now());
             clock::until(send_at).await;
         }
@@ -130,38 +130,38 @@
     }
 }
 
-async fn build_response(carrier: &Carrier, request: &Request) -> Vec<u8> {
+async fn build_response(distributor: &Distributor, request: &Request) -> Vec<u8> {
     let target = std::str::from_utf8(request.target()).unwrap_or_default();
     if target == figures::PATH {
-        return figures::reply(carrier);
+        return figures::reply(distributor);
     }
     let Some(peer_request) = PeerRequest::parse(target) else {
         return Message::response(404).body(b"");
     };
     let deadline = clock::now().after_millis(MAX_WAIT_MILLIS);
     loop {
-        if peer_request.mode == Mode::Presence && is_present(carrier, &peer_request) {
+        if peer_request.mode == Mode::Presence && is_present(distributor, &peer_request) {
             return Message::response(204).end();
         }
-        if let Some(bytes) = find_cached(carrier, &peer_request) {
+        if let Some(bytes) = find_cached(distributor, &peer_request) {
             return Message::response(200).body(&bytes);
         }
-        if let Some(bytes) = read_from_engine(carrier, &peer_request).await {
+        if let Some(bytes) = read_from_engine(distributor, &peer_request).await {
             return Message::response(200).body(&bytes);
         }
-        if peer_request.mode == Mode::Now || !will_fetch(carrier, &peer_request.model_version) {
+        if peer_request.mode == Mode::Now || !will_fetch(distributor, &peer_request.model_version) {
             return Message::response(404).body(b"");
         }
         if deadline.has_passed(clock::now()) {
             return Message::response(202).body(b"");
         }
         // A timeout only ends the wait early enough for the deadline check above.
-        let _ = clock::before(deadline, carrier.arrived.notified()).await;
+        let _ = clock::before(deadline, distributor.arrived.notified()).await;
     }
 }
 
-fn find_cached(carrier: &Carrier, peer_request: &PeerRequest) -> Option<Bytes> {
-    let chunk_cache = carrier.chunk_cache.borrow();
+fn find_cached(distributor: &Distributor, peer_request: &PeerRequest) -> Option<Bytes> {
+    let chunk_cache = distributor.chunk_cache.borrow();
     let chunk_set = chunk_cache.get(
         &peer_request.model_version.model,
         peer_request.model_version.version,
@@ -172,19 +172,20 @@
     }
 }
 
-fn is_present(carrier: &Carrier, peer_request: &PeerRequest) -> bool {
-    find_cached(carrier, peer_request).is_some() || carrier.serves(&peer_request.model_version)
+fn is_present(distributor: &Distributor, peer_request: &PeerRequest) -> bool {
+    find_cached(distributor, peer_request).is_some()
+        || distributor.serves(&peer_request.model_version)
 }
 
 /// Reads a chunk from the local engine if it serves this version. The requester verifies the
 /// digest.
-async fn read_from_engine(carrier: &Carrier, peer_request: &PeerRequest) -> Option<Bytes> {
+async fn read_from_engine(distributor: &Distributor, peer_request: &PeerRequest) -> Option<Bytes> {
     let chunk = peer_request.chunk?;
-    let engine = carrier.engine?;
-    if !carrier.serves(&peer_request.model_version) {
+    let engine = distributor.engine?;
+    if !distributor.serves(&peer_request.model_version) {
         return None;
     }
-    let call = carrier
+    let call = distributor
         .dialect
         .laid_chunk(&peer_request.model_version.model, chunk);
     let mut client = Client::new(engine);
@@ -193,22 +194,22 @@
 }
 
 /// True if data that isn't present yet will arrive. Gateways start to fetch what is requested.
-fn will_fetch(carrier: &Carrier, model_version: &Named) -> bool {
-    let fetching = carrier.fetching.borrow();
+fn will_fetch(distributor: &Distributor, model_version: &Named) -> bool {
+    let fetching = distributor.fetching.borrow();
     if fetching.contains(model_version) {
         return true;
     }
     let is_newest = fetching
         .iter()
         .all(|other| other.version <= model_version.version);
-    if carrier.engine.is_none() {
+    if distributor.engine.is_none() {
         // Fetching older weights would compete with newer ones for the origin's link.
         if is_newest {
-            *carrier.requested.borrow_mut() = Some(model_version.clone());
+            *distributor.requested.borrow_mut() = Some(model_version.clone());
         }
         return is_newest;
     }
-    let served = carrier.served.borrow();
+    let served = distributor.served.borrow();
     let is_newer = |served: &Named| served.version < model_version.version;
     is_newest && served.as_ref().is_none_or(is_newer)
 }
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -1,7 +1,7 @@
 //! Relays weights through a gateway to the loaders of its availability zone.
 
 use {
-    super::{GatewayPlace, RelaySet, fetch, sources::FetchSpec},
+    super::{GatewayLocation, RelaySet, fetch, sources::FetchSpec},
     crate::{clock, state::State, weights},
     gingerpier_base::order,
     gingerpier_serving::{dialect::Named, engine::Engine, report::Version},
@@ -56,7 +56,7 @@
     clock::pause(STARTUP_DELAY_MILLIS).await;
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
-        let requested = state.carrier.requested.borrow_mut().take();
+        let requested = state.distributor.requested.borrow_mut().take();
         let released = state
             .named()
             .into_iter()
@@ -87,16 +87,16 @@
     });
     let mut older: Option<Named> = None;
     for fetch_task in running {
-        if state.carrier.cached_fraction(&fetch_task.model_version) < MIN_FRACTION_TO_FINISH {
+        if state.distributor.cached_fraction(&fetch_task.model_version) < MIN_FRACTION_TO_FINISH {
             state
-                .carrier
+                .distributor
                 .cancel_fetch(&fetch_task.model_version, &fetch_task.task);
         } else {
             older = Some(fetch_task.model_version.clone());
         }
     }
     state
-        .carrier
+        .distributor
         .fetching
         .borrow_mut()
         .push(model_version.clone());
@@ -106,7 +106,7 @@
         if let Some(older) = older {
             wait_for_older(&task_state, &older).await;
         }
-        fetch::fetch(&task_state.carrier, || fetch_spec(&task_state, &target)).await
+        fetch::fetch(&task_state.distributor, || fetch_spec(&task_state, &target)).await
     });
     fetches.push(FetchTask {
         model_version,
@@ -116,16 +116,16 @@
 
 /// Waits while chunks of `older` keep arriving, so that two versions don't share the origin's link.
 async fn wait_for_older(state: &State, older: &Named) {
-    let mut last_count = state.carrier.cached_count(older);
+    let mut last_count = state.distributor.cached_count(older);
     loop {
         let deadline = clock::now().after_millis(OLDER_STALL_MILLIS);
-        while state.carrier.cached_count(older) == last_count {
-            if state.carrier.is_complete(older) || deadline.has_passed(clock::now()) {
+        while state.distributor.cached_count(older) == last_count {
+            if state.distributor.is_complete(older) || deadline.has_passed(clock::now()) {
                 return;
             }
             clock::pause(POLL_INTERVAL_MILLIS).await;
         }
-        last_count = state.carrier.cached_count(older);
+        last_count = state.distributor.cached_count(older);
     }
 }
 
@@ -145,7 +145,7 @@
         .filter(|fetch_task| !fetch_task.task.is_finished());
     for fetch_task in running.filter(|fetch_task| fetch_task.model_version.version < newest) {
         state
-            .carrier
+            .distributor
             .cancel_fetch(&fetch_task.model_version, &fetch_task.task);
     }
 }
@@ -160,11 +160,11 @@
 /// requests for older versions fail.
 fn cancel_unobtainable(state: &State, fetches: &mut Vec<FetchTask>) {
     fetches.retain(|fetch_task| {
-        let is_empty = state.carrier.cached_count(&fetch_task.model_version) == 0;
+        let is_empty = state.distributor.cached_count(&fetch_task.model_version) == 0;
         let is_unobtainable = is_empty && !is_obtainable(state, &fetch_task.model_version);
         if is_unobtainable {
             state
-                .carrier
+                .distributor
                 .cancel_fetch(&fetch_task.model_version, &fetch_task.task);
         }
         !is_unobtainable
@@ -184,7 +184,7 @@
 }
 
 fn known_relays(state: &State, version: Version) -> RelaySet {
-    let own = GatewayPlace {
+    let own = GatewayLocation {
         address: state.settings.peers,
         zone: state.settings.zone.clone(),
     };
--- a/crates/gingerpier_gateway/src/weights/request.rs
+++ b/crates/gingerpier_gateway/src/weights/request.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Carrier, cache,
+        Distributor, cache,
         peers::{Mode, PeerRequest},
         sources::Sources,
     },
@@ -63,7 +63,7 @@
 /// A request for one chunk to one source.
 pub struct ChunkRequest {
     /// Receives the chunk.
-    pub carrier: Rc<Carrier>,
+    pub distributor: Rc<Distributor>,
     /// Concurrency limits.
     pub sources: Rc<Sources>,
     /// Weights version.
@@ -100,7 +100,10 @@
 
     fn call(&self, mode: Mode) -> Call {
         if self.source == Source::Origin {
-            return self.carrier.dialect.chunk(&self.model_version, self.chunk);
+            return self
+                .distributor
+                .dialect
+                .chunk(&self.model_version, self.chunk);
         }
         let peer_request = PeerRequest {
             model_version: self.model_version.clone(),
@@ -112,7 +115,7 @@
 
     /// Regular chunk size of the version.
     fn chunk_bytes(&self) -> u64 {
-        let chunk_cache = self.carrier.chunk_cache.borrow();
+        let chunk_cache = self.distributor.chunk_cache.borrow();
         let chunk_set = chunk_cache.get(&self.model_version.model, self.model_version.version);
         chunk_set.map_or(0, |chunk_set| chunk_set.manifest.chunk_bytes)
     }
@@ -195,13 +198,13 @@
     }
 
     fn check(&self, body: Bytes) -> Outcome {
-        let Some(manifest) = self.carrier.manifest(&self.model_version) else {
+        let Some(manifest) = self.distributor.manifest(&self.model_version) else {
             return Outcome::Failed;
         };
         if !cache::matches_digest(&manifest, self.chunk, &body) {
             return Outcome::Corrupt;
         }
-        self.carrier
+        self.distributor
             .insert_chunk(&self.model_version, self.chunk, body);
         Outcome::Held
     }
--- a/crates/gingerpier_gateway/src/weights/search.rs
+++ b/crates/gingerpier_gateway/src/weights/search.rs
@@ -47,7 +47,7 @@
             };
             tracing::info!(model, ?seen, origin = %origin.address, "requesting the newest manifest from the origin");
             let mut client = Client::new(origin.address);
-            match manifest::fetch_from_origin(&state.carrier, &mut client, &newest).await {
+            match manifest::fetch_from_origin(&state.distributor, &mut client, &newest).await {
                 Some(found) => {
                     search.note_found(clock::now());
                     state.note_found(found);
@@ -63,13 +63,13 @@
 
 fn observe(state: &State, service: &str, model: &str) -> Seen {
     let known = state.known_weights(service, model);
-    let fetch_status = state.carrier.fetch_status(model);
+    let fetch_status = state.distributor.fetch_status(model);
     Seen {
         is_lacking: state.lacks_weights(service, model),
         is_known: known.wanted().is_some() || fetch_status.is_fetching,
         is_whole: known.wanted().is_some_and(|version| {
             let model = model.to_owned();
-            state.carrier.is_complete(&Named { model, version })
+            state.distributor.is_complete(&Named { model, version })
         }),
         chunks: fetch_status.chunks,
         rank: rank(state, model),
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         clock,
-        message::{self, Datagram, Digest, DigestEngine, DigestHeld},
+        message::{self, Datagram, Digest, DigestEngine, IndexedVersion},
         metrics::Kind,
         state::State,
     },
@@ -186,7 +186,7 @@
     now: Instant,
 ) -> DigestEngine {
     let loaded = report.held.iter();
-    let loaded = loaded.filter_map(|weights| DigestHeld::new(weights, models, MAX_MODELS));
+    let loaded = loaded.filter_map(|weights| IndexedVersion::new(weights, models, MAX_MODELS));
     DigestEngine {
         address: engine.record.address,
         age: engine.report_age(now).unwrap_or_default() as u32,
--- a/crates/gingerpier_gateway/tests/rolling.rs
+++ b/crates/gingerpier_gateway/tests/rolling.rs
@@ -5,7 +5,7 @@
 
 use {
     gingerpier_gateway::message::{
-        self, Digest, DigestEngine, DigestHeld, Load, Naming, Subscribe,
+        self, Digest, DigestEngine, IndexedVersion, Load, ReportedRelease, Subscribe,
     },
     gingerpier_serving::report::{Born, Held, Report, Version},
     minicbor::{Decode, Encode},
@@ -20,7 +20,7 @@
     #[n(1)]
     age: u32,
     #[n(2)]
-    held: Vec<DigestHeld>,
+    held: Vec<IndexedVersion>,
     #[n(3)]
     is_busy: bool,
     #[n(4)]
@@ -40,7 +40,7 @@
     #[n(0)]
     zone: String,
     #[n(1)]
-    named: Vec<Naming>,
+    named: Vec<ReportedRelease>,
     #[cbor(n(2), default)]
     stamp: u64,
     #[cbor(n(3), default)]
@@ -57,7 +57,7 @@
     DigestEngine {
         address: address(),
         age: 5,
-        held: vec![DigestHeld {
+        held: vec![IndexedVersion {
             model: 0,
             version: 3,
         }],
