--- a/crates/gingerpier_gateway/src/callers/ending.rs
+++ b/crates/gingerpier_gateway/src/callers/ending.rs
@@ -192,7 +192,7 @@
         let now = clock::now();
         // The census is rate limited, as it visits every engine.
         let lacks_engine = ending == Ending::Refused && self.refusal_reason.is_none();
-        let has_census = lacks_engine && log::allows_census();
+        let has_census = lacks_engine && log::allows_availability_counts();
         let census = has_census.then(|| self.census());
         let fleet = self.state.fleet.borrow();
         let engine = self.tried.last().map(|key| fleet.engine(*key));
--- a/crates/gingerpier_gateway/src/client.rs
+++ b/crates/gingerpier_gateway/src/client.rs
@@ -23,7 +23,7 @@
 };
 
 /// Largest response body in bytes.
-pub const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Time without data after which a response counts as stalled.
 const STALL_MILLIS: u64 = 800;
@@ -43,7 +43,7 @@
     connection: Option<Connection>,
     accepts_compression: bool,
     /// Largest response body that is accepted.
-    pub most_bytes: usize,
+    pub max_body_bytes: usize,
     /// Set to the time at which data of a successful response last arrived.
     last_received: Option<Rc<Cell<Option<Instant>>>>,
     /// Request that tells a dead connection from a slow path.
@@ -57,28 +57,28 @@
             peer,
             connection: None,
             accepts_compression: false,
-            most_bytes: MAX_ANSWER_BYTES,
+            max_body_bytes: MAX_RESPONSE_BYTES,
             last_received: None,
             probe: None,
         }
     }
 
     /// Client that records in `last_received` when data of a successful response last arrived.
-    pub fn noting(peer: SocketAddr, last_received: Rc<Cell<Option<Instant>>>) -> Self {
+    pub fn recording(peer: SocketAddr, last_received: Rc<Cell<Option<Instant>>>) -> Self {
         let mut client = Self::new(peer);
         client.last_received = Some(last_received);
         client
     }
 
     /// Client of another gateway, which accepts compressed responses.
-    pub fn of_gateway(peer: SocketAddr) -> Self {
+    pub fn accepting_compression(peer: SocketAddr) -> Self {
         let mut client = Self::new(peer);
         client.accepts_compression = true;
         client
     }
 
     /// Adds a `probe` request that tells a dead connection from a slow path.
-    pub fn patient(mut self, probe: Call) -> Self {
+    pub fn with_probe(mut self, probe: Call) -> Self {
         self.probe = Some(probe);
         self
     }
@@ -165,7 +165,7 @@
         let step = Phase::Exchange;
         let http_error = |what| Error::Http { step, peer, what };
         let framing = head.framing().map_err(http_error)?;
-        if matches!(framing, Framing::Length(length) if length > self.most_bytes as u64) {
+        if matches!(framing, Framing::Length(length) if length > self.max_body_bytes as u64) {
             return Err(http_error(gingerpier_http1::error::Error::BodyTooLong));
         }
         let mut decoder = Decoder::new(framing);
@@ -182,7 +182,7 @@
             {
                 last_received.set(now);
             }
-            if body.len() > self.most_bytes {
+            if body.len() > self.max_body_bytes {
                 return Err(http_error(gingerpier_http1::error::Error::BodyTooLong));
             }
         }
--- a/crates/gingerpier_gateway/src/discovery.rs
+++ b/crates/gingerpier_gateway/src/discovery.rs
@@ -30,7 +30,7 @@
 const MAX_LISTED: usize = 32;
 
 /// Sends hellos to seeds until a configuration is known.
-pub async fn greet(state: Rc<State>, socket: Rc<UdpSocket>) {
+pub async fn send_hellos(state: Rc<State>, socket: Rc<UdpSocket>) {
     let own = state.settings.peers;
     let hello = message::encode(&Datagram::Hello(Member {
         address: own.to_string(),
@@ -50,7 +50,7 @@
 }
 
 /// Replies to a hello with other gateways of the sender's zone.
-pub fn answer(state: &State, socket: &UdpSocket, from: SocketAddr, member: Member) {
+pub fn reply_to_hello(state: &State, socket: &UdpSocket, from: SocketAddr, member: Member) {
     let now = clock::now();
     let mut zones = state.zones.borrow_mut();
     let own = (state.settings.zone.as_str(), state.settings.peers);
@@ -91,14 +91,14 @@
 }
 
 /// Reads the engine list until another gateway or a loader of this zone is known.
-pub async fn look(state: Rc<State>) {
+pub async fn find_loaders(state: Rc<State>) {
     clock::pause(SEED_TIMEOUT_MILLIS).await;
     let mut client = store::client(state.settings.store, state.dialect);
     while is_isolated(&state) {
         state.metrics.store_calls.inc();
         match store::read_all(&mut client, state.dialect, Scope::Engines, true).await {
             Ok(copy) => {
-                let records = copy.items.iter().filter_map(|item| state.items.read(item));
+                let records = copy.items.iter().filter_map(|item| state.items.parse(item));
                 let loaders = records.filter_map(|fact| match fact {
                     Fact::Engine(record) if record.zone == state.settings.zone => {
                         Some(record.address.ip())
--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -4,9 +4,9 @@
     crate::{
         callers, clock, discovery,
         error::{Error, Step},
-        figures, log, members, relay, reports,
+        figures, log, members, reports,
         state::State,
-        store, suspects,
+        store, store_sharing, suspects,
         weights::{self, peers},
         zones,
     },
@@ -77,17 +77,17 @@
     let state = Rc::new(State::new(settings, dialect));
     let socket = Rc::new(socket);
     actix_rt::spawn(clock::watch());
-    actix_rt::spawn(discovery::greet(state.clone(), socket.clone()));
+    actix_rt::spawn(discovery::send_hellos(state.clone(), socket.clone()));
     actix_rt::spawn(members::send_probes(state.clone(), socket.clone()));
-    actix_rt::spawn(discovery::look(state.clone()));
+    actix_rt::spawn(discovery::find_loaders(state.clone()));
     actix_rt::spawn(store::follow(state.clone()));
-    actix_rt::spawn(relay::serve(state.clone(), control_listener));
-    actix_rt::spawn(relay::follow(state.clone()));
+    actix_rt::spawn(store_sharing::serve(state.clone(), control_listener));
+    actix_rt::spawn(store_sharing::run(state.clone()));
     actix_rt::spawn(peers::serve(state.distributor.clone(), chunk_listener));
     actix_rt::spawn(figures::run(state.clone()));
     if state.settings.carries_weights {
-        actix_rt::spawn(weights::relay::keep(state.clone()));
-        actix_rt::spawn(weights::search::keep(state.clone()));
+        actix_rt::spawn(weights::relay::run(state.clone()));
+        actix_rt::spawn(weights::origin_poll::run(state.clone()));
     }
     actix_rt::spawn(reports::subscribe(state.clone(), socket.clone()));
     actix_rt::spawn(zones::send_digests(state.clone(), socket.clone()));
@@ -128,7 +128,7 @@
         state
             .metrics
             .unparsed_items
-            .set(state.items.left_out() as i64);
+            .set(state.items.invalid_count() as i64);
         state.update_suspect_metrics();
         let fleet = state.fleet.borrow();
         let is_present = |key: &_| !fleet.engine(*key).is_gone;
@@ -172,7 +172,7 @@
 
 async fn serve_readiness_connection(state: &State, stream: TcpStream) {
     let mut connection = Connection::new(stream);
-    while let Some(request) = relay::read_head(&mut connection).await {
+    while let Some(request) = store_sharing::read_head(&mut connection).await {
         let target = std::str::from_utf8(request.target()).unwrap_or_default();
         let status = match (state.dialect.asks_ready(target), state.is_ready()) {
             (true, true) => 200,
--- a/crates/gingerpier_gateway/src/items.rs
+++ b/crates/gingerpier_gateway/src/items.rs
@@ -23,7 +23,7 @@
 
 /// Clears the value of an item that no process uses, so that foreign or invalid entries take no
 /// memory.
-pub fn slim(dialect: &dyn Dialect, item: Item) -> Item {
+pub fn strip_unused_value(dialect: &dyn Dialect, item: Item) -> Item {
     let Some(value) = &item.value else {
         return item;
     };
@@ -45,7 +45,7 @@
 }
 
 /// Parses store items and logs each omission once.
-pub struct Reader {
+pub struct Parser {
     dialect: &'static dyn Dialect,
     logged_omissions: RefCell<BTreeSet<Omission>>,
     /// Keys and revisions of invalid items that were logged.
@@ -53,7 +53,7 @@
     invalid_count: Cell<u64>,
 }
 
-impl Reader {
+impl Parser {
     /// Parser that uses the platform protocol `dialect`.
     pub const fn new(dialect: &'static dyn Dialect) -> Self {
         Self {
@@ -65,12 +65,12 @@
     }
 
     /// Number of invalid items so far.
-    pub const fn left_out(&self) -> u64 {
+    pub const fn invalid_count(&self) -> u64 {
         self.invalid_count.get()
     }
 
     /// Content of `item`; none if it is deleted or invalid. Logs invalid items and missing fields.
-    pub fn read(&self, item: &Item) -> Option<Fact> {
+    pub fn parse(&self, item: &Item) -> Option<Fact> {
         let value = item.value.as_ref()?;
         let revision = item.revision.0;
         match self.dialect.fact(&item.key, value) {
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -12,7 +12,7 @@
     crate::{
         clock,
         error::{Error, Step},
-        items::Reader,
+        items::Parser,
         log, message,
         weights::{Distributor, GatewayLocation, peers},
     },
@@ -87,7 +87,7 @@
     /// Platform protocol.
     pub dialect: &'static dyn Dialect,
     /// Parser of store items.
-    pub items: Reader,
+    pub items: Parser,
     /// Chunk cache and transfers.
     pub distributor: Rc<Distributor>,
     /// Subscribed gateways by address.
@@ -122,7 +122,7 @@
             seeds: Self::seeds(&settings),
             settings,
             dialect,
-            items: Reader::new(dialect),
+            items: Parser::new(dialect),
             distributor,
             engine_lock: Mutex::new(()),
             subscribers: RefCell::default(),
--- a/crates/gingerpier_gateway/src/log.rs
+++ b/crates/gingerpier_gateway/src/log.rs
@@ -149,7 +149,7 @@
 }
 
 /// True if the next line may include counts of engines by availability.
-pub fn allows_census() -> bool {
+pub fn allows_availability_counts() -> bool {
     let now = clock::now();
     let next = LAST_COUNTS
         .get()
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -136,7 +136,7 @@
             Some(Datagram::Digest(digest)) => zones::receive_digest(&state, &socket, digest),
             Some(Datagram::Hello(member)) => match &member.probe {
                 Some(probe) => members::respond(&state, &socket, from, probe),
-                None => discovery::answer(&state, &socket, from, member),
+                None => discovery::reply_to_hello(&state, &socket, from, member),
             },
             Some(Datagram::GatewayList(names)) => {
                 record_gateways(&state, &names.gateways);
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -12,7 +12,7 @@
 use {
     crate::{
         clock,
-        items::{Reader, slim},
+        items::{Parser, strip_unused_value},
         metrics::Metrics,
         pool::Pool,
         snapshots::Snapshots,
@@ -52,7 +52,7 @@
     /// Protocol of the deployment platform.
     pub dialect: &'static dyn Dialect,
     /// Parser of the store's items.
-    pub items: Reader,
+    pub items: Parser,
     /// Local copy of the store.
     pub mirror: RefCell<Mirror>,
     /// Known engines and their load.
@@ -119,7 +119,7 @@
         Self {
             settings,
             dialect,
-            items: Reader::new(dialect),
+            items: Parser::new(dialect),
             mirror: RefCell::default(),
             fleet: RefCell::new(Fleet::of(regions.clone())),
             retry_budgets: RefCell::default(),
@@ -187,7 +187,9 @@
 
     fn slim(&self, items: Changes) -> Changes {
         let items = items.into_iter();
-        items.map(|item| slim(self.dialect, item)).collect()
+        items
+            .map(|item| strip_unused_value(self.dialect, item))
+            .collect()
     }
 
     /// Replaces the mirror with a full copy of the store at revision `at`.
@@ -209,7 +211,7 @@
     }
 
     fn handle_item(&self, item: &Item) {
-        match self.items.read(item) {
+        match self.items.parse(item) {
             Some(Fact::Configuration(configuration)) => self.apply_configuration(*configuration),
             Some(Fact::Engine(record)) => self.list_engine(*record, item.revision),
             Some(Fact::Weights(release)) => self.record_release(&release),
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -3,12 +3,12 @@
 
 use {
     crate::{
-        client::{Client, MAX_ANSWER_BYTES},
+        client::{Client, MAX_RESPONSE_BYTES},
         clock,
         error::{Error, Step as Operation},
-        items::slim,
-        relay,
+        items::strip_unused_value,
         state::State,
+        store_sharing,
     },
     gingerpier_base::Instant,
     gingerpier_http1::connection::Whole,
@@ -105,7 +105,8 @@
             }
             self.newest_at = page.at;
             let items = page.items.into_iter();
-            self.items.extend(items.map(|item| slim(dialect, item)));
+            self.items
+                .extend(items.map(|item| strip_unused_value(dialect, item)));
             if !page.has_more {
                 return Ok(started);
             }
@@ -132,7 +133,7 @@
 /// Creates a client of the store at `peer` that uses a small request to tell a dead connection from
 /// a slow network.
 pub fn client(peer: SocketAddr, dialect: &dyn Dialect) -> Client {
-    Client::new(peer).patient(small_request(dialect))
+    Client::new(peer).with_probe(small_request(dialect))
 }
 
 /// Request for an empty page that may be stale, which costs little.
@@ -188,9 +189,9 @@
 /// the store.
 pub async fn follow(state: Rc<State>) {
     let mut watching = Watching::new(state.settings.control, clock::now());
-    let client = Client::noting(state.settings.store, state.store_received_at.clone());
+    let client = Client::recording(state.settings.store, state.store_received_at.clone());
     let mut polling = Polling {
-        client: client.patient(small_request(state.dialect)),
+        client: client.with_probe(small_request(state.dialect)),
         copy: Copy::default(),
         needs_copy: false,
         has_missed_changes: false,
@@ -210,7 +211,7 @@
             Step::Probe => probe_store(&state, &mut polling, &mut watching).await,
             Step::Wait(until) => clock::until(until).await,
             Step::FirstCopy(member) => {
-                if !relay::ask_first_copy(&state, member).await {
+                if !store_sharing::fetch_first_copy(&state, member).await {
                     watching.note_without_copy(member);
                 }
             }
@@ -218,7 +219,7 @@
                 let connected = watcher.take().filter(|client| client.peer() == member);
                 let mut client = connected.unwrap_or_else(|| watcher_client(member));
                 let max_age_millis = watching.most_age_millis(member, clock::now());
-                match relay::ask_watcher(&state, &mut client, max_age_millis).await {
+                match store_sharing::poll_watcher(&state, &mut client, max_age_millis).await {
                     Ok(()) => {
                         watcher = Some(client);
                         // The response covers as much as a full read of the store.
@@ -237,7 +238,7 @@
 
 fn watcher_client(member: SocketAddr) -> Client {
     tracing::info!(watcher = %member, "polling a gateway that watches the store");
-    Client::of_gateway(member)
+    Client::accepting_compression(member)
 }
 
 /// Watches the store for changes, or reads a full copy.
@@ -323,14 +324,14 @@
     let after = state.mirror.borrow().at();
     let requested = clock::now();
     let client = &mut polling.client;
-    client.most_bytes = max_watch_bytes(state);
+    client.max_body_bytes = max_watch_bytes(state);
     // Changes that the last watch missed are already in the store.
     let wait_millis = match polling.has_missed_changes {
         true => MISSED_WATCH_WAIT_MILLIS,
         false => WATCH_WAIT_MILLIS,
     };
     let watched = watch(client, state.dialect, Scope::Everything, after, wait_millis).await;
-    client.most_bytes = MAX_ANSWER_BYTES;
+    client.max_body_bytes = MAX_RESPONSE_BYTES;
     let is_too_long = |error: &Error| matches!(error, Error::Http { what, .. } if *what == gingerpier_http1::error::Error::BodyTooLong);
     if watched.as_ref().is_err_and(is_too_long) {
         tracing::info!(
--- a/crates/gingerpier_gateway/src/relay.rs
+++ b/crates/gingerpier_gateway/src/store_sharing.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{
-        client::{Client, MAX_ANSWER_BYTES},
+        client::{Client, MAX_RESPONSE_BYTES},
         clock, compression,
         message::{self, Snapshot, StoreItem},
         metrics::Kind,
@@ -197,7 +197,7 @@
 ///
 /// If the gateway doesn't respond, or its last contact with the store is older than
 /// `max_age_millis` milliseconds.
-pub async fn ask_watcher(
+pub async fn poll_watcher(
     state: &State,
     client: &mut Client,
     max_age_millis: u64,
@@ -224,7 +224,7 @@
 }
 
 /// Requests a first copy of the store from another gateway; false if it has none.
-pub async fn ask_first_copy(state: &State, peer: SocketAddr) -> bool {
+pub async fn fetch_first_copy(state: &State, peer: SocketAddr) -> bool {
     let age = fetch_snapshot(state, peer).await;
     if let Some(age) = age {
         state.note_contact(age);
@@ -325,7 +325,7 @@
     let fields = &response.head.fields;
     let ages = Ages::parse(fields.get(AGES_FIELD)?)?;
     let snapshot = match fields.lists("content-encoding", compression::ENCODING) {
-        true => message::decode(&compression::decompress(&response.body, MAX_ANSWER_BYTES).ok()?),
+        true => message::decode(&compression::decompress(&response.body, MAX_RESPONSE_BYTES).ok()?),
         false => message::decode(&response.body),
     };
     Some(ReceivedSnapshot {
@@ -368,7 +368,7 @@
 
 /// Polls peers while the store is unreachable. Waits for all responses, as concurrent transfers of
 /// large ones would slow each other down.
-pub async fn follow(state: Rc<State>) {
+pub async fn run(state: Rc<State>) {
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
         if !state.lacks_contact() {
@@ -413,7 +413,7 @@
         after,
         wait_millis: 0,
     };
-    let mut client = Client::of_gateway(peer);
+    let mut client = Client::accepting_compression(peer);
     let received = exchange(&mut client, &snapshot_request, RESPONSE_TIMEOUT_MILLIS).await?;
     record_outage(state, &received);
     if received.snapshot.at <= after.0 {
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -9,10 +9,10 @@
 pub mod cache;
 pub mod fetch;
 pub mod manifest;
+pub mod origin_poll;
 pub mod peers;
 pub mod relay;
 pub mod request;
-pub mod search;
 pub mod sources;
 
 use {
--- a/crates/gingerpier_gateway/src/weights/search.rs
+++ b/crates/gingerpier_gateway/src/weights/origin_poll.rs
@@ -21,7 +21,7 @@
 const POLL_INTERVAL_MILLIS: u64 = 200;
 
 /// Requests the origin's newest manifest for each model for which a search is due.
-pub async fn keep(state: Rc<State>) {
+pub async fn run(state: Rc<State>) {
     let mut searches: HashMap<String, Search> = HashMap::new();
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Distributor,
-    crate::{client::Client, clock, figures, relay},
+    crate::{client::Client, clock, figures, store_sharing},
     bytes::Bytes,
     gingerpier_http1::{connection::Connection, head::Request, writer::Message},
     gingerpier_serving::{dialect::Named, report::Version},
@@ -113,7 +113,7 @@
     }
     loop {
         let idle_deadline = clock::now().after_millis(IDLE_TIMEOUT_MILLIS);
-        let head = clock::before(idle_deadline, relay::read_head(&mut connection)).await;
+        let head = clock::before(idle_deadline, store_sharing::read_head(&mut connection)).await;
         let Some(Some(request)) = head else { return };
         let response = build_response(distributor, &request).await;
         // Sends chunks one after the other and paced, as the link also carries engine responses.
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -51,7 +51,7 @@
 }
 
 /// Fetches released versions that some engine lacks, and versions that loaders request.
-pub async fn keep(state: Rc<State>) {
+pub async fn run(state: Rc<State>) {
     let mut fetches: Vec<FetchTask> = Vec::new();
     clock::pause(STARTUP_DELAY_MILLIS).await;
     loop {
--- a/crates/gingerpier_gateway/tests/client.rs
+++ b/crates/gingerpier_gateway/tests/client.rs
@@ -100,7 +100,7 @@
     });
     let call = || Call::get("/small".to_owned());
     let result = actix_rt::System::new().block_on(async move {
-        let mut client = Client::new(address).patient(call());
+        let mut client = Client::new(address).with_probe(call());
         client.call(&call(), BEGIN_MILLIS).await
     });
     assert!(matches!(result, Err(Error::Late { .. })));
@@ -130,7 +130,7 @@
     actix_rt::System::new().block_on(async move {
         let last_received = Rc::new(Cell::new(None));
         let call = Call::get("/everything".to_owned());
-        let mut client = Client::noting(address, last_received.clone());
+        let mut client = Client::recording(address, last_received.clone());
         client.call(&call, BEGIN_MILLIS).await.expect("a response");
         last_received.get().is_some()
     })
