--- a/crates/gingerpier_gateway/src/figures.rs
+++ b/crates/gingerpier_gateway/src/figures.rs
@@ -46,12 +46,12 @@
         if let Some(configuration) = state.configuration() {
             let services = configuration.services_part().for_loaders();
             let mut figures = build(&services, &state.fleet.borrow(), clock::now());
-            figures.named = state.releases();
-            for release in &mut figures.named {
+            figures.releases = state.releases();
+            for release in &mut figures.releases {
                 // Ages are rounded up to the next rebuild, until which the message may be served.
-                release.age += REBUILD_INTERVAL_MILLIS;
+                release.age_millis += REBUILD_INTERVAL_MILLIS;
             }
-            *state.distributor.figures.borrow_mut() = Some(message::encode(&figures).into());
+            *state.distributor.configuration.borrow_mut() = Some(message::encode(&figures).into());
         }
         clock::pause(MIN_REBUILD_INTERVAL_MILLIS).await;
         let next_rebuild = clock::now().after_millis(REBUILD_INTERVAL_MILLIS);
@@ -62,7 +62,7 @@
 
 /// Builds the response to a loader's request.
 pub fn reply(distributor: &Distributor) -> Vec<u8> {
-    match distributor.figures.borrow().as_ref() {
+    match distributor.configuration.borrow().as_ref() {
         Some(figures) => Message::response(200).body(figures),
         None => Message::response(404).body(b""),
     }
@@ -116,7 +116,7 @@
         zones: Vec::new(),
         models: Vec::new(),
         engines: Vec::new(),
-        named: Vec::new(),
+        releases: Vec::new(),
     };
     for index in 0..message.services.len() {
         for (_, engine) in fleet.present(&message.services[index].name) {
@@ -139,7 +139,7 @@
     LoaderConfiguration {
         services: Services::told(figures.version, services, figures.weights_digest),
         fleet,
-        named: figures.named,
+        named: figures.releases,
     }
 }
 
@@ -168,12 +168,12 @@
     Some(ServiceEntry {
         name: service.name.clone(),
         max_connections: service.max_connections,
-        figures,
+        parameters: figures,
     })
 }
 
 fn decode_service(entry: ServiceEntry) -> Service {
-    let kind = match entry.figures {
+    let kind = match entry.parameters {
         ServiceParameters::Engines(engines) => ServiceKind::Engines(Box::new(EngineModel {
             slots: engines.slots,
             stride: engines.stride,
@@ -214,7 +214,7 @@
     EngineEntry {
         address: engine.record.address,
         service,
-        held: loaded.collect(),
+        loaded: loaded.collect(),
         zone: index_of(&mut message.zones, &engine.record.zone),
     }
 }
@@ -231,8 +231,8 @@
 
 /// Record of an engine; `None` if an index of the message is out of range.
 fn decode_engine(engine: &EngineEntry, figures: &ConfigurationPart) -> Option<Record> {
-    let loaded = engine.held.iter();
-    let loaded = loaded.filter_map(|weights| weights.held(&figures.models));
+    let loaded = engine.loaded.iter();
+    let loaded = loaded.filter_map(|weights| weights.decode(&figures.models));
     Some(Record {
         // Loaders identify engines by address.
         id: engine.address.to_string(),
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -49,7 +49,7 @@
     /// Availability zone.
     pub zone: String,
     /// Timestamp of its last subscription message, by its own clock.
-    pub stamp: u64,
+    pub timestamp_millis: u64,
     /// Time of its last subscription message.
     pub last_seen: Instant,
     /// True once the gateway list was sent to it.
@@ -59,7 +59,7 @@
     /// Digest of the engines and origins in that configuration.
     pub weights_digest: u64,
     /// Unreleased versions that it reports as available.
-    pub unnamed: Vec<message::UnreleasedVersion>,
+    pub unreleased: Vec<message::UnreleasedVersion>,
 }
 
 /// A machine with an engine of the same service.
@@ -287,13 +287,13 @@
         Heard {
             gateways: informed_gateways,
             seeds: &self.seeds,
-            near_count: self.near_gateway_count(),
+            near_count: self.zone_gateway_count(),
             knowledge: self.knowledge(),
         }
     }
 
     /// Number of subscribed gateways in this zone.
-    pub fn near_gateway_count(&self) -> usize {
+    pub fn zone_gateway_count(&self) -> usize {
         let subscribers = self.subscribers.borrow();
         let values = subscribers.values();
         values
--- a/crates/gingerpier_gateway/src/loader/report.rs
+++ b/crates/gingerpier_gateway/src/loader/report.rs
@@ -61,19 +61,19 @@
 }
 
 fn record_subscription(loader: &Loader, from: SocketAddr, subscribe: Subscribe) {
-    for release in subscribe.named {
+    for release in subscribe.releases {
         loader.record_peer_release(release, Teller(order::hash(&from)));
     }
     let mut subscribers = loader.subscribers.borrow_mut();
     let previous = subscribers.get(&from);
     let subscriber = Subscriber {
         zone: subscribe.zone,
-        stamp: subscribe.stamp,
+        timestamp_millis: subscribe.timestamp_millis,
         last_seen: clock::now(),
         has_gateway_list: previous.is_some_and(|previous| previous.has_gateway_list),
         configuration_version: subscribe.configuration,
         weights_digest: subscribe.weights_digest,
-        unnamed: subscribe.unnamed,
+        unreleased: subscribe.unreleased,
     };
     let is_new = subscribers.insert(from, subscriber).is_none();
     if is_new {
@@ -105,7 +105,7 @@
 
 /// Interval between reports that keeps their total within [`MAX_LINK_FRACTION`].
 fn report_interval_millis(loader: &Loader) -> u64 {
-    let bytes = loader.near_gateway_count() as f64 * REPORT_SIZE_BYTES;
+    let bytes = loader.zone_gateway_count() as f64 * REPORT_SIZE_BYTES;
     let link_bytes_per_milli =
         loader.settings.link_bits_per_second as f64 * MAX_LINK_FRACTION / 8_000.0;
     let millis = (bytes / link_bytes_per_milli) as u64;
@@ -236,7 +236,7 @@
         let includes_list = !subscriber.has_gateway_list || round.is_multiple_of(period);
         subscriber.has_gateway_list = true;
         let load = Load {
-            echo: subscriber.stamp,
+            echoed_timestamp_millis: subscriber.timestamp_millis,
             gateways: match includes_list {
                 true => gateways.clone(),
                 false => Vec::new(),
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -39,7 +39,7 @@
             model: release.model,
             version: Version(release.version),
         };
-        self.record_release(&model_version, source, release.age);
+        self.record_release(&model_version, source, release.age_millis);
     }
 
     /// Known releases of `model`.
@@ -112,7 +112,7 @@
         let subscribers = self.subscribers.borrow();
         let reported = subscribers
             .values()
-            .flat_map(|subscriber| &subscriber.unnamed);
+            .flat_map(|subscriber| &subscriber.unreleased);
         let of_model =
             reported.filter(|report| report.model == model && report.is_found == is_found);
         of_model.map(|report| Version(report.version)).max()
--- a/crates/gingerpier_gateway/src/members.rs
+++ b/crates/gingerpier_gateway/src/members.rs
@@ -50,10 +50,10 @@
 /// Applies membership updates of `from`, a gateway of the own zone.
 pub fn apply_updates(zones: &mut Exchange, from: SocketAddr, probe: &Probe) {
     let now = clock::now();
-    let updates = probe.news.iter().map(|update| News {
+    let updates = probe.updates.iter().map(|update| News {
         member: update.address,
         incarnation: update.incarnation,
-        is_gone: update.is_gone,
+        is_gone: update.is_dead,
     });
     let updates: Vec<News> = updates.collect();
     let liveness = zones.liveness();
@@ -67,11 +67,11 @@
     let updates = updates.map(|update| MemberUpdate {
         address: update.member,
         incarnation: update.incarnation,
-        is_gone: update.is_gone,
+        is_dead: update.is_gone,
     });
     Probe {
         incarnation: liveness.incarnation(),
-        news: updates.collect(),
+        updates: updates.collect(),
     }
 }
 
--- a/crates/gingerpier_gateway/src/message/configuration.rs
+++ b/crates/gingerpier_gateway/src/message/configuration.rs
@@ -83,7 +83,7 @@
     pub max_connections: u32,
     /// Kind and parameters.
     #[n(2)]
-    pub figures: ServiceParameters,
+    pub parameters: ServiceParameters,
 }
 
 /// An engine that loaders need.
@@ -100,7 +100,7 @@
     pub zone: u32,
     /// Loaded weights.
     #[n(3)]
-    pub held: Vec<IndexedVersion>,
+    pub loaded: Vec<IndexedVersion>,
 }
 
 /// Configuration and engines for a loader, sent by a gateway.
@@ -127,5 +127,5 @@
     pub engines: Vec<EngineEntry>,
     /// Released versions.
     #[cbor(n(6), default)]
-    pub named: Vec<ReportedRelease>,
+    pub releases: Vec<ReportedRelease>,
 }
--- a/crates/gingerpier_gateway/src/message/mod.rs
+++ b/crates/gingerpier_gateway/src/message/mod.rs
@@ -42,7 +42,7 @@
     pub version: u64,
     /// Milliseconds since the earliest possible time of the release.
     #[cbor(n(2), default)]
-    pub age: u64,
+    pub age_millis: u64,
 }
 
 /// An available version of a model without a release.
@@ -69,10 +69,10 @@
     pub zone: String,
     /// Releases known to the gateway.
     #[n(1)]
-    pub named: Vec<ReportedRelease>,
+    pub releases: Vec<ReportedRelease>,
     /// Send time in milliseconds of the gateway's own clock.
     #[cbor(n(2), default)]
-    pub stamp: u64,
+    pub timestamp_millis: u64,
     /// Configuration version known to the gateway; 0 for none.
     #[cbor(n(3), default)]
     pub configuration: u64,
@@ -81,7 +81,7 @@
     pub weights_digest: u64,
     /// Available versions of models without a release.
     #[cbor(n(5), default)]
-    pub unnamed: Vec<UnreleasedVersion>,
+    pub unreleased: Vec<UnreleasedVersion>,
 }
 
 /// A gateway.
@@ -108,7 +108,7 @@
     pub incarnation: u64,
     /// Membership updates of the zone.
     #[n(1)]
-    pub news: Vec<MemberUpdate>,
+    pub updates: Vec<MemberUpdate>,
 }
 
 /// Membership update of one gateway.
@@ -122,7 +122,7 @@
     pub incarnation: u64,
     /// True if the gateway is dead.
     #[n(2)]
-    pub is_gone: bool,
+    pub is_dead: bool,
 }
 
 /// State of an engine, reported by its loader.
@@ -134,7 +134,7 @@
     pub engine: String,
     /// Loaded weights.
     #[n(1)]
-    pub held: Vec<LoadedVersion>,
+    pub loaded: Vec<LoadedVersion>,
     /// True while the engine carries out an order or is about to receive one.
     #[n(2)]
     pub is_busy: bool,
@@ -158,13 +158,13 @@
     pub gateways: Vec<Member>,
     /// Timestamp of the recipient's last subscription; 0 for none.
     #[cbor(n(9), default)]
-    pub echo: u64,
+    pub echoed_timestamp_millis: u64,
     /// Estimate of admitted prompt tokens that aren't read yet.
     #[cbor(n(10), default)]
     pub unread_tokens: u64,
     /// Start time of the engine in Unix milliseconds; 0 if unknown.
     #[cbor(n(11), default)]
-    pub born: u64,
+    pub start_time_millis: u64,
 }
 
 /// Loaded weights of an engine in a digest.
@@ -186,10 +186,10 @@
     pub address: SocketAddr,
     /// Milliseconds since its report.
     #[n(1)]
-    pub age: u32,
+    pub age_millis: u32,
     /// Loaded weights.
     #[n(2)]
-    pub held: Vec<IndexedVersion>,
+    pub loaded: Vec<IndexedVersion>,
     /// True while the engine carries out an order or is about to receive one.
     #[n(3)]
     pub is_busy: bool,
@@ -205,9 +205,9 @@
     /// Slowdown in thousandths; 1,000 is normal speed.
     #[n(7)]
     pub pace: u32,
-    /// Start time, as 1 plus the milliseconds since `first_born`; 0 if unknown.
+    /// Start time, as 1 plus the milliseconds since `first_start_millis`; 0 if unknown.
     #[cbor(n(8), default)]
-    pub born_after: u64,
+    pub start_offset_millis: u64,
 }
 
 /// Part of the state of a zone, sent to gateways of other zones.
@@ -222,7 +222,7 @@
     pub sender: SocketAddr,
     /// Creation time in milliseconds of the sender's own clock.
     #[n(2)]
-    pub stamp: u64,
+    pub timestamp_millis: u64,
     /// Part number.
     #[n(3)]
     pub part: u32,
@@ -240,10 +240,10 @@
     pub gateways: Vec<SocketAddr>,
     /// True if a gateway of the recipient's zone forwarded it.
     #[n(8)]
-    pub is_passed_on: bool,
+    pub is_forwarded: bool,
     /// Earliest engine start time in Unix milliseconds; 0 if unknown.
     #[cbor(n(9), default)]
-    pub first_born: u64,
+    pub first_start_millis: u64,
 }
 
 /// Content of one datagram.
@@ -282,25 +282,25 @@
 }
 
 impl IndexedVersion {
-    /// Encodes `held` and adds its model to `models`; none if `models` already has `max_models`
+    /// Encodes `loaded` and adds its model to `models`; none if `models` already has `max_models`
     /// others.
-    pub fn new(held: &Held, models: &mut Vec<String>, max_models: usize) -> Option<Self> {
-        let known = models.iter().position(|model| *model == held.model);
+    pub fn new(loaded: &Held, models: &mut Vec<String>, max_models: usize) -> Option<Self> {
+        let known = models.iter().position(|model| *model == loaded.model);
         if known.is_none() && models.len() >= max_models {
             return None;
         }
         let model = known.unwrap_or_else(|| {
-            models.push(held.model.clone());
+            models.push(loaded.model.clone());
             models.len() - 1
         });
         Some(Self {
             model: model as u32,
-            version: held.version.0,
+            version: loaded.version.0,
         })
     }
 
     /// Decodes the weights; none if the index is out of range.
-    pub fn held(&self, models: &[String]) -> Option<Held> {
+    pub fn decode(&self, models: &[String]) -> Option<Held> {
         Some(Held {
             model: models.get(self.model as usize)?.clone(),
             version: Version(self.version),
@@ -311,13 +311,13 @@
 impl Load {
     /// Load message for the `report` of the engine at `engine`.
     pub fn new(engine: String, report: &Report) -> Self {
-        let held = report.held.iter().map(|held| LoadedVersion {
-            model: held.model.clone(),
-            version: held.version.0,
+        let loaded = report.held.iter().map(|loaded| LoadedVersion {
+            model: loaded.model.clone(),
+            version: loaded.version.0,
         });
         Self {
             engine,
-            held: held.collect(),
+            loaded: loaded.collect(),
             is_busy: report.is_busy,
             queued: report.queued,
             active: report.active,
@@ -325,21 +325,21 @@
             memory_total: report.memory_total,
             pace: (report.pace * 1_000.0) as u32,
             gateways: Vec::new(),
-            echo: 0,
+            echoed_timestamp_millis: 0,
             unread_tokens: report.unread_tokens,
-            born: report.born.map_or(0, |born| born.0),
+            start_time_millis: report.born.map_or(0, |born| born.0),
         }
     }
 
     /// Decodes the report.
     pub fn report(&self) -> Report {
-        let held = self.held.iter().map(|weights| Held {
+        let loaded = self.loaded.iter().map(|weights| Held {
             model: weights.model.clone(),
             version: Version(weights.version),
         });
         Report {
-            born: (self.born > 0).then_some(Born(self.born)),
-            held: held.collect(),
+            born: (self.start_time_millis > 0).then_some(Born(self.start_time_millis)),
+            held: loaded.collect(),
             is_busy: self.is_busy,
             sequence: 0,
             queued: self.queued,
--- a/crates/gingerpier_gateway/src/message/suspects.rs
+++ b/crates/gingerpier_gateway/src/message/suspects.rs
@@ -24,8 +24,8 @@
 }
 
 impl From<FingerprintBytes> for Mark {
-    fn from(told: FingerprintBytes) -> Self {
-        Self(told.0)
+    fn from(bytes: FingerprintBytes) -> Self {
+        Self(bytes.0)
     }
 }
 
@@ -34,7 +34,7 @@
 pub struct CrashUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: FingerprintBytes,
+    pub fingerprint: FingerprintBytes,
     /// Hash of the client account.
     #[n(1)]
     pub account: u32,
@@ -46,29 +46,29 @@
     pub version: u64,
     /// Milliseconds since the crash was detected.
     #[n(4)]
-    pub age: u64,
+    pub age_millis: u64,
 }
 
 impl CrashUpdate {
-    /// Encodes `end` at `now`.
-    pub fn new(end: &End, now: Instant) -> Self {
+    /// Encodes `crash` at `now`.
+    pub fn new(crash: &End, now: Instant) -> Self {
         Self {
-            mark: end.mark.into(),
-            account: end.account,
-            engine: end.engine.0,
-            version: end.version.0,
-            age: now.millis_since(end.at),
+            fingerprint: crash.mark.into(),
+            account: crash.account,
+            engine: crash.engine.0,
+            version: crash.version.0,
+            age_millis: now.millis_since(crash.at),
         }
     }
 
     /// Decodes the crash, received at `now`.
-    pub fn end(&self, now: Instant) -> End {
+    pub fn crash(&self, now: Instant) -> End {
         End {
-            mark: self.mark.into(),
+            mark: self.fingerprint.into(),
             account: self.account,
             engine: Incarnation(self.engine),
             version: Version(self.version),
-            at: Instant::from_millis(now.as_millis().saturating_sub(self.age)),
+            at: Instant::from_millis(now.as_millis().saturating_sub(self.age_millis)),
         }
     }
 }
@@ -78,7 +78,7 @@
 pub struct CompletionUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: FingerprintBytes,
+    pub fingerprint: FingerprintBytes,
     /// Version of the weights that served it.
     #[n(1)]
     pub version: u64,
@@ -89,7 +89,7 @@
 pub struct DismissalUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: FingerprintBytes,
+    pub fingerprint: FingerprintBytes,
     /// Hash of the client account.
     #[n(1)]
     pub account: u32,
@@ -103,34 +103,34 @@
 pub struct TrialUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: FingerprintBytes,
+    pub fingerprint: FingerprintBytes,
     /// Gateway that runs the trial.
     #[n(1)]
-    pub by: SocketAddr,
+    pub gateway: SocketAddr,
     /// Engine, if it must not run another trial.
     #[n(2)]
     pub engine: Option<u64>,
     /// True if the trial has ended.
     #[n(3)]
-    pub is_over: bool,
+    pub has_ended: bool,
 }
 
 impl TrialUpdate {
     /// Encodes `trial`.
-    pub fn new(trial: &Trial, is_over: bool) -> Self {
+    pub fn new(trial: &Trial, has_ended: bool) -> Self {
         Self {
-            mark: trial.mark.into(),
-            by: trial.by,
+            fingerprint: trial.mark.into(),
+            gateway: trial.by,
             engine: trial.engine.map(|engine| engine.0),
-            is_over,
+            has_ended,
         }
     }
 
     /// Decodes the trial.
     pub fn trial(&self) -> Trial {
         Trial {
-            by: self.by,
-            mark: self.mark.into(),
+            by: self.gateway,
+            mark: self.fingerprint.into(),
             engine: self.engine.map(Incarnation),
         }
     }
@@ -142,33 +142,33 @@
 pub struct Suspects {
     /// Crashes.
     #[cbor(n(0), default)]
-    pub ends: Vec<CrashUpdate>,
+    pub crashes: Vec<CrashUpdate>,
     /// Requests that ran to completion.
     #[cbor(n(1), default)]
-    pub cleared: Vec<CompletionUpdate>,
+    pub completions: Vec<CompletionUpdate>,
     /// Dismissed crashes.
     #[cbor(n(2), default)]
-    pub pardons: Vec<DismissalUpdate>,
+    pub dismissals: Vec<DismissalUpdate>,
     /// Trials.
     #[cbor(n(3), default)]
     pub trials: Vec<TrialUpdate>,
     /// True if the recipient forwards new entries to the other gateways of its zone.
     #[cbor(n(4), default)]
-    pub is_to_pass_on: bool,
+    pub is_to_be_forwarded: bool,
     /// Digest of all entries that the sender knows, to detect missing ones.
     #[n(5)]
     pub digest: Option<u64>,
     /// True if this replies to a digest, so that no further reply follows.
     #[cbor(n(6), default)]
-    pub is_answer: bool,
+    pub is_reply: bool,
 }
 
 impl Suspects {
     /// True if there are no entries.
     pub const fn is_empty(&self) -> bool {
-        self.ends.is_empty()
-            && self.cleared.is_empty()
-            && self.pardons.is_empty()
+        self.crashes.is_empty()
+            && self.completions.is_empty()
+            && self.dismissals.is_empty()
             && self.trials.is_empty()
     }
 }
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -59,13 +59,13 @@
     let configuration = state.configuration();
     Subscribe {
         zone: state.settings.zone.clone(),
-        named: state.releases(),
-        stamp: clock::now().as_millis(),
+        releases: state.releases(),
+        timestamp_millis: clock::now().as_millis(),
         configuration: configuration
             .as_ref()
             .map_or(0, |configuration| configuration.version),
         weights_digest: configuration.map_or(0, |configuration| configuration.weights_digest()),
-        unnamed: state.unreleased_versions(),
+        unreleased: state.unreleased_versions(),
     }
 }
 
@@ -164,7 +164,7 @@
             engine.warmth.note_doubt(clock::now());
             tracing::info!(
                 engine = engine.record.id,
-                born = load.born,
+                born = load.start_time_millis,
                 "engine has started again"
             );
         }
@@ -172,8 +172,8 @@
             state.zones.borrow_mut().note_news();
         }
         engine.note_report(report, clock::now());
-        if load.echo > 0 {
-            engine.note_echo(Instant::from_millis(load.echo));
+        if load.echoed_timestamp_millis > 0 {
+            engine.note_echo(Instant::from_millis(load.echoed_timestamp_millis));
         }
     }
 }
--- a/crates/gingerpier_gateway/src/state/naming.rs
+++ b/crates/gingerpier_gateway/src/state/naming.rs
@@ -76,7 +76,7 @@
             Some(message::ReportedRelease {
                 model: model.clone(),
                 version: newest.version.0,
-                age: now.millis_since(newest.at),
+                age_millis: now.millis_since(newest.at),
             })
         };
         releases.iter().filter_map(newest).collect()
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -166,7 +166,7 @@
         for (fingerprint, account) in &held {
             for engine in suspects.pardon(*fingerprint) {
                 outbox.dismissals.push(DismissalUpdate {
-                    mark: (*fingerprint).into(),
+                    fingerprint: (*fingerprint).into(),
                     account: *account,
                     engine: engine.0,
                 });
@@ -268,7 +268,7 @@
 
 fn completion_update((fingerprint, version): (Mark, Version)) -> CompletionUpdate {
     CompletionUpdate {
-        mark: fingerprint.into(),
+        fingerprint: fingerprint.into(),
         version: version.0,
     }
 }
@@ -289,9 +289,9 @@
     let total: usize = counts.iter().sum();
     if total <= MAX_ENTRIES {
         let message = Message {
-            ends: crashes.to_vec(),
-            cleared: completions.to_vec(),
-            pardons: dismissals.to_vec(),
+            crashes: crashes.to_vec(),
+            completions: completions.to_vec(),
+            dismissals: dismissals.to_vec(),
             trials: trial_updates.to_vec(),
             ..Message::default()
         };
@@ -302,15 +302,15 @@
         };
     }
     let crashes = crashes.chunks(MAX_ENTRIES).map(|crashes| Message {
-        ends: crashes.to_vec(),
+        crashes: crashes.to_vec(),
         ..Message::default()
     });
     let completions = completions.chunks(MAX_ENTRIES).map(|completions| Message {
-        cleared: completions.to_vec(),
+        completions: completions.to_vec(),
         ..Message::default()
     });
     let dismissals = dismissals.chunks(MAX_ENTRIES).map(|dismissals| Message {
-        pardons: dismissals.to_vec(),
+        dismissals: dismissals.to_vec(),
         ..Message::default()
     });
     let trial_updates = trial_updates
@@ -350,7 +350,7 @@
             continue;
         }
         sent_to_zone += 1;
-        message.is_to_pass_on = !is_target_zone;
+        message.is_to_be_forwarded = !is_target_zone;
         send(state, socket, &message, gateway);
     }
 }
@@ -361,13 +361,13 @@
     let (news, refutations) = apply_update(state, update, now);
     if !refutations.is_empty() {
         let response = Message {
-            cleared: refutations,
-            is_answer: true,
+            completions: refutations,
+            is_reply: true,
             ..Message::default()
         };
         send(state, socket, &response, from);
     }
-    if update.is_to_pass_on && !news.is_empty() {
+    if update.is_to_be_forwarded && !news.is_empty() {
         for neighbour in state.zones.borrow().neighbours() {
             send(state, socket, &news, neighbour);
         }
@@ -382,10 +382,10 @@
     for response in &responses {
         send(state, socket, response, from);
     }
-    if !update.is_answer {
+    if !update.is_reply {
         let request = Message {
             digest: Some(own_digest),
-            is_answer: true,
+            is_reply: true,
             ..Message::default()
         };
         send(state, socket, &request, from);
@@ -396,8 +396,8 @@
 fn apply_update(state: &State, update: &Message, now: Instant) -> (Message, Vec<CompletionUpdate>) {
     let mut news = Message::default();
     let mut refutations: Vec<CompletionUpdate> = Vec::new();
-    for report in &update.ends {
-        let crash = report.end(now);
+    for report in &update.crashes {
+        let crash = report.crash(now);
         let engine_count = state.engine_count();
         let change = state
             .suspect_state
@@ -406,34 +406,37 @@
             .note_end(crash, engine_count);
         match change {
             Noted::Known => {}
-            Noted::News => news.ends.push(*report),
+            Noted::News => news.crashes.push(*report),
             Noted::Refuted(version) => refutations.push(completion_update((crash.mark, version))),
         }
     }
     refutations.dedup();
     let mut suspects = state.suspect_state.suspects.borrow_mut();
-    for completion in &update.cleared {
-        if suspects.note_cleared(completion.mark.into(), Version(completion.version)) {
-            news.cleared.push(*completion);
+    for completion in &update.completions {
+        if suspects.note_cleared(completion.fingerprint.into(), Version(completion.version)) {
+            news.completions.push(*completion);
             // A response to an update that this gateway may also have sent to others.
-            if update.is_answer {
-                state.announce_completion(completion.mark.into(), Version(completion.version));
+            if update.is_reply {
+                state.announce_completion(
+                    completion.fingerprint.into(),
+                    Version(completion.version),
+                );
             }
         }
     }
-    for dismissal in &update.pardons {
+    for dismissal in &update.dismissals {
         if suspects.note_pardoned(
-            dismissal.mark.into(),
+            dismissal.fingerprint.into(),
             dismissal.account,
             Incarnation(dismissal.engine),
         ) {
-            news.pardons.push(*dismissal);
+            news.dismissals.push(*dismissal);
         }
     }
     let mut trials = state.suspect_state.trials.borrow_mut();
     for trial_update in &update.trials {
-        match trial_update.is_over {
-            true => trials.note_over(trial_update.mark.into(), trial_update.by),
+        match trial_update.has_ended {
+            true => trials.note_over(trial_update.fingerprint.into(), trial_update.gateway),
             false => trials.note_begun(trial_update.trial(), now),
         }
         news.trials.push(*trial_update);
@@ -455,7 +458,7 @@
     let completions: Vec<CompletionUpdate> = completions.map(completion_update).collect();
     let dismissals = suspects.grave().flat_map(|(fingerprint, case)| {
         case.pardoned.iter().map(move |engine| DismissalUpdate {
-            mark: fingerprint.into(),
+            fingerprint: fingerprint.into(),
             account: case.account,
             engine: engine.0,
         })
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -49,7 +49,7 @@
     /// Chunks in memory.
     pub chunk_cache: RefCell<ChunkCache>,
     /// Encoded engine and service configuration for loaders; set on gateways once known.
-    pub figures: RefCell<Option<Bytes>>,
+    pub configuration: RefCell<Option<Bytes>>,
     /// Engine on this machine; none on gateways.
     pub engine: Option<SocketAddr>,
     /// Version that the local engine serves.
@@ -59,7 +59,7 @@
     /// Version that a peer last requested and that isn't cached here.
     pub requested: RefCell<Option<Named>>,
     /// Send rate limit for chunks; set where the link is narrow.
-    pub pace: Option<RefCell<Pace>>,
+    pub pacer: Option<RefCell<Pace>>,
     /// Notified when a chunk or a manifest is cached.
     pub arrived: Notify,
     /// Limits concurrent uploads.
@@ -75,10 +75,10 @@
         engine: SocketAddr,
         link_bits_per_second: u64,
     ) -> Self {
-        let pace = Pace::new(link_bits_per_second);
+        let pacer = Pace::new(link_bits_per_second);
         Self {
             engine: Some(engine),
-            pace: Some(RefCell::new(pace)),
+            pacer: Some(RefCell::new(pacer)),
             upload_permits: Semaphore::new(MAX_UPLOADS_NARROW),
             ..Self::new(dialect)
         }
@@ -89,12 +89,12 @@
         Self {
             dialect,
             chunk_cache: RefCell::default(),
-            figures: RefCell::default(),
+            configuration: RefCell::default(),
             engine: None,
             served: RefCell::default(),
             fetching: RefCell::default(),
             requested: RefCell::default(),
-            pace: None,
+            pacer: None,
             arrived: Notify::new(),
             upload_permits: Semaphore::new(MAX_UPLOADS_WIDE),
             sustained_peer_requests: Cell::new(None),
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -108,7 +108,7 @@
 }
 
 async fn serve_connection(distributor: &Distributor, mut connection: Connection) {
-    if distributor.pace.is_some() {
+    if distributor.pacer.is_some() {
         connection.use_small_buffers();
     }
     loop {
@@ -118,8 +118,8 @@
         let response = build_response(distributor, &request).await;
         // Sends chunks one after the other and paced, as the link also carries engine responses.
         let _permit = distributor.upload_permits.acquire().await;
-        if let Some(pace) = &distributor.pace {
-            let send_at = pace.borrow_mut().reserve(response.len(), clock::now());
+        if let Some(pacer) = &distributor.pacer {
+            let send_at = pacer.borrow_mut().reserve(response.len(), clock::now());
             clock::until(send_at).await;
         }
         let deadline = clock::now().after_millis(WRITE_TIMEOUT_MILLIS);
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -60,7 +60,7 @@
     let header = Heading {
         zone: &digest.zone,
         sender: digest.sender,
-        stamp: digest.stamp,
+        stamp: digest.timestamp_millis,
         part: digest.part,
         gateway_count: digest.gateway_count,
     };
@@ -72,11 +72,11 @@
         tracing::info!(zone = digest.zone, sender = %digest.sender, "receiving digests from the gateways of another zone");
     }
     apply_digest(state, &digest, now);
-    if digest.is_passed_on {
+    if digest.is_forwarded {
         return;
     }
     let forwarded = Digest {
-        is_passed_on: true,
+        is_forwarded: true,
         ..digest
     };
     let bytes = message::encode(&Datagram::Digest(forwarded));
@@ -105,7 +105,7 @@
         if previous != Some(key) {
             fleet.engine_mut(key).warmth.note_doubt(now);
         }
-        let age_millis = u64::from(entry.age);
+        let age_millis = u64::from(entry.age_millis);
         let at = Instant::from_millis(now.as_millis().saturating_sub(age_millis));
         fleet.engine_mut(key).note_passed_on(report, at);
     }
@@ -113,12 +113,12 @@
 
 fn report_from(entry: &DigestEngine, digest: &Digest) -> Report {
     let loaded = entry
-        .held
+        .loaded
         .iter()
-        .filter_map(|weights| weights.held(&digest.models));
-    let start_offset = entry.born_after.checked_sub(1);
+        .filter_map(|weights| weights.decode(&digest.models));
+    let start_offset = entry.start_offset_millis.checked_sub(1);
     Report {
-        born: start_offset.map(|offset| Born(digest.first_born.saturating_add(offset))),
+        born: start_offset.map(|offset| Born(digest.first_start_millis.saturating_add(offset))),
         held: loaded.collect(),
         is_busy: entry.is_busy,
         sequence: 0,
@@ -157,7 +157,7 @@
         let start_times = chunk.iter().filter_map(|(engine, _)| engine.born());
         let first_born = start_times.min().map_or(0, |born| born.0);
         let entries = chunk.iter().map(|(engine, report)| DigestEngine {
-            born_after: engine.born().map_or(0, |born| born.0 - first_born + 1),
+            start_offset_millis: engine.born().map_or(0, |born| born.0 - first_born + 1),
             ..digest_engine(engine, report, &mut models, now)
         });
         let engines = entries.collect();
@@ -166,14 +166,14 @@
         Digest {
             zone: own_zone.clone(),
             sender: state.settings.peers,
-            stamp: now.as_millis(),
+            timestamp_millis: now.as_millis(),
             part: index as u32,
             gateway_count: zones.zone_count(own_zone),
             models,
             engines,
             gateways: gateways.unwrap_or_default().to_vec(),
-            is_passed_on: false,
-            first_born,
+            is_forwarded: false,
+            first_start_millis: first_born,
         }
     };
     (0..part_count).map(part).collect()
@@ -189,13 +189,13 @@
     let loaded = loaded.filter_map(|weights| IndexedVersion::new(weights, models, MAX_MODELS));
     DigestEngine {
         address: engine.record.address,
-        age: engine.report_age(now).unwrap_or_default() as u32,
-        held: loaded.collect(),
+        age_millis: engine.report_age(now).unwrap_or_default() as u32,
+        loaded: loaded.collect(),
         is_busy: report.is_busy,
         queued: report.queued,
         active: report.active,
         unread_tokens: report.unread_tokens,
         pace: (report.pace * 1_000.0) as u32,
-        born_after: 0,
+        start_offset_millis: 0,
     }
 }
--- a/crates/gingerpier_gateway/tests/rolling.rs
+++ b/crates/gingerpier_gateway/tests/rolling.rs
@@ -18,9 +18,9 @@
     #[n(0)]
     address: SocketAddr,
     #[n(1)]
-    age: u32,
+    age_millis: u32,
     #[n(2)]
-    held: Vec<IndexedVersion>,
+    loaded: Vec<IndexedVersion>,
     #[n(3)]
     is_busy: bool,
     #[n(4)]
@@ -40,9 +40,9 @@
     #[n(0)]
     zone: String,
     #[n(1)]
-    named: Vec<ReportedRelease>,
+    releases: Vec<ReportedRelease>,
     #[cbor(n(2), default)]
-    stamp: u64,
+    timestamp_millis: u64,
     #[cbor(n(3), default)]
     configuration: u64,
     #[cbor(n(4), default)]
@@ -56,8 +56,8 @@
 fn engine() -> DigestEngine {
     DigestEngine {
         address: address(),
-        age: 5,
-        held: vec![IndexedVersion {
+        age_millis: 5,
+        loaded: vec![IndexedVersion {
             model: 0,
             version: 3,
         }],
@@ -66,7 +66,7 @@
         active: 2,
         unread_tokens: 30,
         pace: 1_000,
-        born_after: 7,
+        start_offset_millis: 7,
     }
 }
 
@@ -79,7 +79,7 @@
     let decoded: DigestEngine =
         message::decode(&message::encode(&previous)).expect("a valid message");
     let expected = DigestEngine {
-        born_after: 0,
+        start_offset_millis: 0,
         ..engine()
     };
     assert_eq!(decoded, expected);
@@ -89,13 +89,13 @@
 fn subscriptions_are_compatible_with_the_previous_program_version() {
     let previous = PreviousSubscribe {
         zone: "z".to_owned(),
-        named: Vec::new(),
-        stamp: 1,
+        releases: Vec::new(),
+        timestamp_millis: 1,
         configuration: 2,
         weights_digest: 3,
     };
     let decoded: Subscribe = message::decode(&message::encode(&previous)).expect("a valid message");
-    assert_eq!((decoded.stamp, decoded.unnamed.len()), (1, 0));
+    assert_eq!((decoded.timestamp_millis, decoded.unreleased.len()), (1, 0));
     let re_encoded: PreviousSubscribe =
         message::decode(&message::encode(&decoded)).expect("a valid message");
     assert_eq!(re_encoded, previous);
@@ -114,30 +114,33 @@
     };
     let load = Load::new(address().to_string(), &report);
     assert_eq!(load.report(), report);
-    let without_start_time = Load { born: 0, ..load };
+    let without_start_time = Load {
+        start_time_millis: 0,
+        ..load
+    };
     assert_eq!(without_start_time.report().born, None);
 }
 
 /// Each start time is sent to every other zone about 4 times per second.
 #[test]
 fn start_times_add_few_bytes_to_a_digest() {
-    let digest = |born_after: u64, first_born: u64| Digest {
+    let digest = |start_offset_millis: u64, first_start_millis: u64| Digest {
         zone: "z".to_owned(),
         sender: address(),
-        stamp: 1,
+        timestamp_millis: 1,
         part: 0,
         gateway_count: 1,
         models: vec!["m".to_owned()],
         engines: vec![
             DigestEngine {
-                born_after,
+                start_offset_millis,
                 ..engine()
             };
             24
         ],
         gateways: Vec::new(),
-        is_passed_on: false,
-        first_born,
+        is_forwarded: false,
+        first_start_millis,
     };
     let without = message::encode(&digest(0, 0)).len();
     // Engine start times within a day.
