--- a/crates/gingerpier_gateway/src/callers/attempt.rs
+++ b/crates/gingerpier_gateway/src/callers/attempt.rs
@@ -5,7 +5,7 @@
     crate::{clock, state::State},
     gingerpier_base::Instant,
     gingerpier_http1::{body::Decoder, connection::Connection, error::Error, head::Response},
-    gingerpier_serving::{configuration::Repeat, course::Failure, fleet::EngineKey},
+    gingerpier_serving::{configuration::Repeat, fleet::EngineKey, retry::Failure},
     std::rc::Rc,
 };
 
--- a/crates/gingerpier_gateway/src/callers/call.rs
+++ b/crates/gingerpier_gateway/src/callers/call.rs
@@ -18,7 +18,7 @@
         mark::{Mark, Subject},
         region::Homes,
         report::Version,
-        returns::Visit,
+        return_detection::Visit,
         sizes::Band,
     },
     std::rc::Rc,
--- a/crates/gingerpier_gateway/src/callers/choosing.rs
+++ b/crates/gingerpier_gateway/src/callers/choosing.rs
@@ -7,9 +7,9 @@
     gingerpier_serving::{
         admission::{self, AvailabilityCounts, Choice, Criteria, Cutover},
         fleet::EngineKey,
-        precedence,
         report::Version,
-        returns::Visit,
+        return_detection::Visit,
+        shedding,
     },
 };
 
@@ -70,7 +70,7 @@
     /// that waited for startup get the lowest share, as many of them resume at once.
     fn target_share(&self, now: Instant) -> f64 {
         if self.has_waited {
-            return precedence::LEFT_SHARE;
+            return shedding::MIN_TARGET_SHARE;
         }
         let visit = match self.retry_state.attempts {
             0 => self.request.visit,
@@ -148,7 +148,7 @@
             }
             Choice::Full(refusal) => {
                 self.predicted_millis = refusal.predicted_millis();
-                self.own_millis = Some(refusal.components.own);
+                self.own_millis = Some(refusal.components.own_prompt_millis);
                 self.refusal = Some(refusal);
                 None
             }
--- a/crates/gingerpier_gateway/src/callers/ending.rs
+++ b/crates/gingerpier_gateway/src/callers/ending.rs
@@ -14,7 +14,7 @@
         state::State,
     },
     gingerpier_http1::{connection::Connection, head::Request},
-    gingerpier_serving::{course::Next, fleet::EngineKey},
+    gingerpier_serving::{fleet::EngineKey, retry::Action},
     std::ops::Range,
 };
 
@@ -42,7 +42,7 @@
             Cause::Unreachable => {
                 engine.note_failure(now);
                 // The engine may restart cold before its store entry says so.
-                engine.warmth.note_doubt(now);
+                engine.warmup.record_possible_cooling(now);
             }
             Cause::Broken => engine.note_failure(now),
             Cause::Silent => engine.note_silence(now),
@@ -80,7 +80,7 @@
     pub(super) async fn finish(
         &mut self,
         caller: &mut Connection,
-        next: Next,
+        next: Action,
         progress: &Progress,
         fallback: Option<BufferedResponse>,
     ) -> Persistence {
@@ -98,9 +98,9 @@
             };
         }
         let (error, ending) = match next {
-            Next::Fail | Next::TryAnother => (ErrorResponse::Failed, Ending::Failed),
-            Next::TimeOut => (ErrorResponse::TimedOut, Ending::TimedOut),
-            Next::Refuse => (
+            Action::Fail | Action::Retry => (ErrorResponse::Failed, Ending::Failed),
+            Action::TimeOut => (ErrorResponse::TimedOut, Ending::TimedOut),
+            Action::Refuse => (
                 ErrorResponse::NotRun {
                     retry_after: self.retry_after_seconds(),
                 },
@@ -216,10 +216,10 @@
             prompt = self.request.prompt_tokens,
             size = self.request.band.map(tracing::field::display),
             bound = self.refusal.map(|refusal| refusal.bound_millis as u64),
-            queue = self.refusal.map(|refusal| refusal.components.queue as u64),
-            passes = self.refusal.map(|refusal| refusal.components.passes as u64),
-            others = self.refusal.map(|refusal| refusal.components.others as u64),
-            own = self.refusal.map(|refusal| refusal.components.own as u64),
+            queue = self.refusal.map(|refusal| refusal.components.queue_millis as u64),
+            passes = self.refusal.map(|refusal| refusal.components.pass_millis as u64),
+            others = self.refusal.map(|refusal| refusal.components.other_prompts_millis as u64),
+            own = self.refusal.map(|refusal| refusal.components.own_prompt_millis as u64),
             error = self.refusal.map(|refusal| refusal.error_millis as u64),
             visit = ?self.request.visit,
             took = now.millis_since(self.request.received),
--- a/crates/gingerpier_gateway/src/callers/forward.rs
+++ b/crates/gingerpier_gateway/src/callers/forward.rs
@@ -19,10 +19,10 @@
     },
     gingerpier_serving::{
         admission::Refusal,
-        course::{Failure, Next, Standing},
         engine::Seen,
         fleet::EngineKey,
         report::Version,
+        retry::{Action, Failure, RetryState},
     },
     std::rc::Rc,
 };
@@ -75,7 +75,7 @@
     pub state: &'a Rc<State>,
     /// The request.
     pub request: &'a RoutedRequest<'c>,
-    pub(super) retry_state: Standing,
+    pub(super) retry_state: RetryState,
     /// Engines that the request was sent to, in order.
     pub(super) tried: Vec<EngineKey>,
     /// Predicted time to the first event on the engine chosen last.
@@ -111,7 +111,7 @@
     let mut forwarder = Forwarder {
         state,
         request,
-        retry_state: Standing {
+        retry_state: RetryState {
             repeat: route_settings.repeat,
             attempts: 0,
             max_attempts: route_settings.max_attempts,
@@ -157,7 +157,7 @@
                     StartupWait::Expired => {}
                     StartupWait::Disconnected => return self.finish_disconnected(),
                 }
-                let next = self.retry_state.give_up();
+                let next = self.retry_state.final_action();
                 return self.finish(caller, next, &progress, fallback).await;
             };
             self.record_attempt(engine);
@@ -167,7 +167,7 @@
                 AttemptOutcome::Disconnected => return self.finish_disconnected(),
                 AttemptOutcome::TimedOut => {
                     self.retry_state.may_have_run = true;
-                    let next = Next::TimeOut;
+                    let next = Action::TimeOut;
                     return self.finish(caller, next, &progress, fallback).await;
                 }
                 AttemptOutcome::Held => {
@@ -196,9 +196,9 @@
                         .spend_retry(&self.request.service_settings().name, now)
             };
             let mut retry_state = self.retry_state;
-            let next = retry_state.after(error.failure, now, spend_retry);
+            let next = retry_state.record_failure(error.failure, now, spend_retry);
             self.retry_state = retry_state;
-            if next != Next::TryAnother {
+            if next != Action::Retry {
                 return self.finish(caller, next, &progress, fallback).await;
             }
         }
@@ -213,7 +213,7 @@
         fallback: Option<BufferedResponse>,
     ) -> Persistence {
         self.refusal_reason = Some(reason);
-        let next = self.retry_state.give_up();
+        let next = self.retry_state.final_action();
         self.finish(caller, next, progress, fallback).await
     }
 
--- a/crates/gingerpier_gateway/src/callers/stream.rs
+++ b/crates/gingerpier_gateway/src/callers/stream.rs
@@ -14,7 +14,7 @@
         connection::Connection,
         writer::{self, LAST_CHUNK},
     },
-    gingerpier_serving::{course::Failure, events::Splitter, report::Version},
+    gingerpier_serving::{events::Splitter, report::Version, retry::Failure},
 };
 
 /// Milliseconds without an event after which a stream may resume on another engine.
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -159,7 +159,7 @@
         };
         self.backlog
             .borrow_mut()
-            .note(report, engines, clock::now())
+            .update(report, engines, clock::now())
     }
 
     /// Resets the estimate of unread tokens after an engine restart.
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -161,7 +161,7 @@
     if let Some(key) = fleet.incarnation(address, report.born) {
         let engine = fleet.engine_mut(key);
         if previous != Some(key) {
-            engine.warmth.note_doubt(clock::now());
+            engine.warmup.record_possible_cooling(clock::now());
             tracing::info!(
                 engine = engine.record.id,
                 born = load.start_time_millis,
--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -6,7 +6,7 @@
     gingerpier_serving::{
         admission::{self, Availability, Criteria},
         dialect::Subject,
-        evenness::Even,
+        fairness::Adjustment,
         fleet::Record,
         mirror::{Item, Revision},
         outage::Absence,
@@ -63,9 +63,9 @@
         let cold_millis = record.cold_millis;
         let key = fleet.list(record, revision);
         let now = clock::now();
-        let warmup = &mut fleet.engine_mut(key).warmth;
+        let warmup = &mut fleet.engine_mut(key).warmup;
         let was_cold = warmup.is_cold(now);
-        warmup.note_told(cold_millis, now);
+        warmup.update_from_entry(cold_millis, now);
         if cold_millis > 0 && !was_cold {
             tracing::info!(engine = id, cold_millis, "engine is cold");
         }
@@ -131,7 +131,7 @@
                 prompt_tokens: engines.usual_prompt.into(),
                 target_millis: USUAL_REQUEST_TARGET_MILLIS,
                 target_share: 1.0,
-                fairness: Even::default(),
+                fairness: Adjustment::default(),
                 allowed_regions: Homes::ANYWHERE,
                 cold_limits: self.cold_terms(service),
                 zone: &self.settings.zone,
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -22,7 +22,7 @@
     gingerpier_base::Instant,
     gingerpier_serving::{
         arrivals::Arrivals,
-        budget::{Budget, Terms},
+        budget::{Budget, Limits},
         configuration::Configuration,
         dialect::{Dialect, Fact},
         fleet::{EngineKey, Fleet},
@@ -31,7 +31,7 @@
         outage::{Absence, Outage},
         region::Regions,
         report::Version,
-        returns::{Returns, Visit},
+        return_detection::{Detector, Visit},
         sizes::{Band, Sizes},
         zones::Exchange,
     },
@@ -88,7 +88,7 @@
     pub active_requests: Cell<u32>,
     configuration: RefCell<Option<Rc<Configuration>>>,
     arrivals: RefCell<HashMap<String, Arrivals>>,
-    return_detector: RefCell<Returns>,
+    return_detector: RefCell<Detector>,
     prompt_sizes: RefCell<Sizes>,
     shedding: RefCell<work::SheddingTable>,
     regions: Regions,
@@ -138,7 +138,7 @@
             active_requests: Cell::new(0),
             configuration: RefCell::default(),
             arrivals: RefCell::default(),
-            return_detector: RefCell::new(Returns::new(started)),
+            return_detector: RefCell::new(Detector::new(started)),
             prompt_sizes: RefCell::default(),
             shedding: RefCell::default(),
             regions,
@@ -254,10 +254,10 @@
         let service = traffic_class.service;
         let mut arrivals = self.arrivals.borrow_mut();
         match arrivals.get_mut(service) {
-            Some(service_arrivals) => service_arrivals.note(now),
-            None => arrivals.entry(service.to_owned()).or_default().note(now),
+            Some(service_arrivals) => service_arrivals.record(now),
+            None => arrivals.entry(service.to_owned()).or_default().record(now),
         }
-        self.with_budget(service, |budget| budget.note_request(now));
+        self.with_budget(service, |budget| budget.record_first_attempt(now));
     }
 
     /// Records a request of `route`, whose caller waits `timeout_millis`; returns whether the
@@ -265,7 +265,7 @@
     pub fn record_visit(&self, route: &str, timeout_millis: Option<u64>, now: Instant) -> Visit {
         self.return_detector
             .borrow_mut()
-            .take(route, timeout_millis, now)
+            .classify(route, timeout_millis, now)
     }
 
     /// Records the prompt length of a request of `route`; returns its size class among them.
@@ -276,13 +276,15 @@
             *sizes = Sizes::default();
             self.metrics.endings_by_route.clear();
         }
-        sizes.note(route, prompt_tokens)
+        sizes.record(route, prompt_tokens)
     }
 
     /// Shortest retry delay after which returning callers of `route` can be told from new ones;
     /// `None` while that is unknown.
     pub fn recognizable_retry_millis(&self, route: &str) -> Option<u64> {
-        self.return_detector.borrow().told_apart_millis(route)
+        self.return_detector
+            .borrow()
+            .recognizable_after_millis(route)
     }
 
     /// Estimates the requests per millisecond that other gateways send to `service`, from this
@@ -297,7 +299,7 @@
 
     /// Spends one retry from the budget of `service`; returns false if none is left.
     pub fn spend_retry(&self, service: &str, now: Instant) -> bool {
-        let is_granted = self.with_budget(service, |budget| budget.take(now));
+        let is_granted = self.with_budget(service, |budget| budget.try_spend(now));
         if is_granted {
             self.metrics.retries.inc();
         }
@@ -307,14 +309,14 @@
     fn with_budget<T>(&self, service: &str, change: impl FnOnce(&mut Budget) -> T) -> T {
         let mut budgets = self.retry_budgets.borrow_mut();
         if let Some(budget) = budgets.get_mut(service) {
-            budget.note_members(self.gateway_count());
+            budget.record_gateway_count(self.gateway_count());
             return change(budget);
         }
-        let limits = Terms {
+        let limits = Limits {
             ratio: self.settings.retry_ratio,
             extra: self.settings.retry_extra,
             window_millis: self.settings.retry_window.0,
-            members: self.gateway_count(),
+            gateways: self.gateway_count(),
         };
         change(
             budgets
--- a/crates/gingerpier_gateway/src/state/places.rs
+++ b/crates/gingerpier_gateway/src/state/places.rs
@@ -9,7 +9,7 @@
         engine::Engine,
         fleet::EngineKey,
         mirror::Revision,
-        warmth::Terms,
+        warmup::ColdLimits,
     },
 };
 
@@ -50,8 +50,8 @@
     }
 
     /// Limits on requests to cold engines of `service`.
-    pub fn cold_terms(&self, service: &Service) -> Terms {
-        Terms {
+    pub fn cold_terms(&self, service: &Service) -> ColdLimits {
+        ColdLimits {
             per_second: service.cold_per_second,
             overshoot: self.settings.cold_overshoot,
             allowance: self.settings.cold_allowance,
@@ -74,7 +74,7 @@
             if !limits.may_be_cold() {
                 continue;
             }
-            let is_cold = |(_, engine): &(EngineKey, &Engine)| engine.warmth.is_cold(now);
+            let is_cold = |(_, engine): &(EngineKey, &Engine)| engine.warmup.is_cold(now);
             let cold_engines = fleet.present(&service.name).filter(is_cold);
             let cold_engines: Vec<EngineKey> = cold_engines.map(|(key, _)| key).collect();
             for key in cold_engines {
@@ -82,7 +82,7 @@
                 let subject = order::hash(&engine.record.address);
                 let is_owned = may_own_from.has_passed(now)
                     && zones.is_among(subject, limits.owner_count(gateways), now);
-                engine.warmth.note_owned(is_owned);
+                engine.warmup.set_owned(is_owned);
             }
         }
     }
--- a/crates/gingerpier_gateway/src/state/work.rs
+++ b/crates/gingerpier_gateway/src/state/work.rs
@@ -6,7 +6,9 @@
 use {
     super::State,
     gingerpier_base::Instant,
-    gingerpier_serving::{evenness::Even, precedence::Precedence, region::Homes, returns::Visit},
+    gingerpier_serving::{
+        fairness::Adjustment, region::Homes, return_detection::Visit, shedding::Controller,
+    },
     std::collections::HashMap,
 };
 
@@ -24,16 +26,16 @@
 
 /// Load shedding controllers by service and set of regions.
 #[derive(Debug, Default)]
-pub(super) struct SheddingTable(HashMap<String, Vec<(Homes, Precedence)>>);
+pub(super) struct SheddingTable(HashMap<String, Vec<(Homes, Controller)>>);
 
 impl SheddingTable {
-    fn find(&self, traffic_class: TrafficClass<'_>) -> Option<&Precedence> {
+    fn find(&self, traffic_class: TrafficClass<'_>) -> Option<&Controller> {
         let mut classes = self.0.get(traffic_class.service)?.iter();
         let (_, controller) = classes.find(|(regions, _)| *regions == traffic_class.regions)?;
         Some(controller)
     }
 
-    fn entry(&mut self, traffic_class: TrafficClass<'_>) -> &mut Precedence {
+    fn entry(&mut self, traffic_class: TrafficClass<'_>) -> &mut Controller {
         // Allocates the key only for a new service.
         if !self.0.contains_key(traffic_class.service) {
             self.0.insert(traffic_class.service.to_owned(), Vec::new());
@@ -49,7 +51,7 @@
             if classes.len() >= MAX_CLASSES_PER_SERVICE {
                 classes.clear();
             }
-            classes.push((traffic_class.regions, Precedence::default()));
+            classes.push((traffic_class.regions, Controller::default()));
             classes.len() - 1
         });
         &mut classes[index].1
@@ -66,7 +68,7 @@
         slack_millis: Option<f64>,
         now: Instant,
     ) {
-        self.return_detector.borrow_mut().note_refused(now);
+        self.return_detector.borrow_mut().record_refusal(now);
         self.record_admission(traffic_class, visit, (true, slack_millis), now);
     }
 
@@ -79,15 +81,15 @@
     ) {
         let mut all = self.shedding.borrow_mut();
         all.entry(traffic_class)
-            .note(visit, is_refused, slack_millis, now);
+            .record(visit, is_refused, slack_millis, now);
     }
 
     /// Adjustment that gives all requests of the class the same slack under overload.
-    pub fn fairness(&self, traffic_class: TrafficClass<'_>, now: Instant) -> Even {
+    pub fn fairness(&self, traffic_class: TrafficClass<'_>, now: Instant) -> Adjustment {
         let all = self.shedding.borrow();
         let controller = all.find(traffic_class);
         controller
-            .map(|controller| controller.even(now))
+            .map(|controller| controller.fairness(now))
             .unwrap_or_default()
     }
 
@@ -95,6 +97,6 @@
     pub fn target_share(&self, traffic_class: TrafficClass<'_>, visit: Visit, now: Instant) -> f64 {
         let all = self.shedding.borrow();
         let controller = all.find(traffic_class).copied().unwrap_or_default();
-        controller.share(visit, now)
+        controller.target_share(visit, now)
     }
 }
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -23,7 +23,7 @@
     gingerpier_serving::{
         bringing::Terms,
         dialect::{Dialect, Manifest, Named},
-        pace::Pace,
+        pacing::Pacer,
         report::Version,
     },
     gingerpier_settings::gateway::ZoneRegion,
@@ -59,7 +59,7 @@
     /// Version that a peer last requested and that isn't cached here.
     pub requested: RefCell<Option<Named>>,
     /// Send rate limit for chunks; set where the link is narrow.
-    pub pacer: Option<RefCell<Pace>>,
+    pub pacer: Option<RefCell<Pacer>>,
     /// Notified when a chunk or a manifest is cached.
     pub arrived: Notify,
     /// Limits concurrent uploads.
@@ -75,7 +75,7 @@
         engine: SocketAddr,
         link_bits_per_second: u64,
     ) -> Self {
-        let pacer = Pace::new(link_bits_per_second);
+        let pacer = Pacer::new(link_bits_per_second);
         Self {
             engine: Some(engine),
             pacer: Some(RefCell::new(pacer)),
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -103,7 +103,7 @@
             continue;
         };
         if previous != Some(key) {
-            fleet.engine_mut(key).warmth.note_doubt(now);
+            fleet.engine_mut(key).warmup.record_possible_cooling(now);
         }
         let age_millis = u64::from(entry.age_millis);
         let at = Instant::from_millis(now.as_millis().saturating_sub(age_millis));
--- a/crates/gingerpier_overload/src/callers.rs
+++ b/crates/gingerpier_overload/src/callers.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::deployment::Deployment,
-    gingerpier_serving::{fleet::EngineKey, returns::Visit},
+    gingerpier_serving::{fleet::EngineKey, return_detection::Visit},
     std::ops::Range,
 };
 
--- a/crates/gingerpier_overload/src/deployment.rs
+++ b/crates/gingerpier_overload/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::draw::Draw,
-    gingerpier_serving::{configuration::EngineModel, precedence::Way, prediction},
+    gingerpier_serving::{configuration::EngineModel, prediction, shedding::ReturnPolicy},
 };
 
 /// Most times that a prompt or an answer is larger than the mean one.
@@ -83,7 +83,7 @@
     /// Share of the callers that come back at once where they were refused.
     pub impatient_share: f64,
     /// How its gateways treat callers that come back.
-    pub way: Way,
+    pub way: ReturnPolicy,
     /// Milliseconds for which a gateway holds a caller whom all engines are too full for, before it refuses it; 0 for
     /// none.
     pub hold_millis: f64,
@@ -120,7 +120,7 @@
             near_millis: 1.0,
             far_millis: 8.0,
             impatient_share: 0.1,
-            way: Way::default(),
+            way: ReturnPolicy::default(),
             hold_millis: 0.0,
             returned_worth: RETURNED_WORTH,
         }
@@ -179,7 +179,7 @@
         let far_millis = draw.between(2.0, 40.0);
         // What the largest prompt takes at an engine half full, with room for one beside it.
         let passes = 2.5 * prediction::pass_millis(&model, f64::from(slots) / 2.0);
-        let largest = LARGEST * prediction::usual_reading_millis(&model);
+        let largest = LARGEST * prediction::mean_prompt_millis(&model);
         let least = passes + 2.0 * largest + 2.0 * far_millis + 60.0;
         Self {
             engines: zones * draw.whole(2, 5) as usize,
@@ -198,7 +198,7 @@
 
     /// Requests a millisecond that all engines can run.
     pub fn capacity_per_milli(&self) -> f64 {
-        self.engines as f64 / prediction::work_millis(&self.model)
+        self.engines as f64 / prediction::mean_work_millis(&self.model)
     }
 
     /// Longest time that a caller waits, in milliseconds.
--- a/crates/gingerpier_overload/src/gateway.rs
+++ b/crates/gingerpier_overload/src/gateway.rs
@@ -6,14 +6,14 @@
     gingerpier_serving::{
         admission::{self, Choice, Criteria},
         arrivals::Arrivals,
-        budget::{Budget, Terms},
+        budget::{Budget, Limits},
         fleet::{EngineKey, Fleet, Record, State},
         mirror::Revision,
-        precedence::Precedence,
         region::Homes,
         report::{Held, Report, Version},
-        returns::Visit,
-        warmth,
+        return_detection::Visit,
+        shedding::Controller,
+        warmup,
     },
 };
 
@@ -30,7 +30,7 @@
     fleet: Fleet,
     arrivals: Arrivals,
     budget: Budget,
-    precedence: Precedence,
+    shedding: Controller,
     /// Gateways that it knows of, itself included.
     known_gateways: usize,
     /// Counts its incarnations.
@@ -45,18 +45,18 @@
 impl Gateway {
     /// A gateway that knows nothing but the list of engines, given by their incarnations.
     pub fn new(zone: usize, deployment: &Deployment, lives: &[Option<u32>], life: u32) -> Self {
-        let terms = Terms {
+        let limits = Limits {
             ratio: RETRIES.0,
             extra: RETRIES.1,
             window_millis: WINDOW_MILLIS,
-            members: deployment.gateways as u32,
+            gateways: deployment.gateways as u32,
         };
         let mut gateway = Self {
             zone,
             fleet: Fleet::default(),
             arrivals: Arrivals::default(),
-            budget: Budget::new(terms),
-            precedence: Precedence::new(deployment.way),
+            budget: Budget::new(limits),
+            shedding: Controller::new(deployment.way),
             known_gateways: 1,
             life,
         };
@@ -120,15 +120,15 @@
             resume_version: None,
             prompt_tokens: ask.prompt,
             target_millis: ask.target_millis,
-            target_share: self.precedence.share(ask.visit, now),
-            fairness: self.precedence.even(now),
+            target_share: self.shedding.target_share(ask.visit, now),
+            fairness: self.shedding.fairness(now),
             zone: &zone,
             gateway_count: self.known_gateways as u32,
             other_arrivals_per_milli: self.arrivals.per_milli(now) * others,
             tried_engines: ask.tried,
             may_crash_engine: false,
             allowed_regions: Homes::ANYWHERE,
-            cold_limits: warmth::Terms::NEVER,
+            cold_limits: warmup::ColdLimits::NEVER_COLD,
         };
         admission::choose(&self.fleet, &criteria, now, ask.draw)
     }
@@ -136,20 +136,20 @@
     /// Notes a request that was sent to an engine; `is_first` where it is no retry.
     pub fn note_sent(&mut self, key: EngineKey, prompt: u64, is_first: bool, now: Instant) {
         if is_first {
-            self.arrivals.note(now);
-            self.budget.note_request(now);
+            self.arrivals.record(now);
+            self.budget.record_first_attempt(now);
         }
         self.fleet.engine_mut(key).note_sent(prompt, now);
     }
 
     /// Notes whether a caller was refused, and how many milliseconds it could wait behind others.
     pub fn note_fate(&mut self, visit: Visit, is_refused: bool, wait: Option<f64>, now: Instant) {
-        self.precedence.note(visit, is_refused, wait, now);
+        self.shedding.record(visit, is_refused, wait, now);
     }
 
     /// Takes one retry.
     pub fn take_retry(&mut self, now: Instant) -> bool {
-        self.budget.take(now)
+        self.budget.try_spend(now)
     }
 
     /// An engine, to be changed.
--- a/crates/gingerpier_overload/src/main.rs
+++ b/crates/gingerpier_overload/src/main.rs
@@ -9,7 +9,7 @@
         play,
         report::{self, Row, Shares},
     },
-    gingerpier_serving::precedence::Way,
+    gingerpier_serving::shedding::ReturnPolicy,
     rayon::prelude::{IntoParallelIterator, ParallelIterator},
     std::{path::PathBuf, process::ExitCode},
 };
@@ -19,7 +19,7 @@
 struct Options {
     /// Ways to compare; all where none is named.
     #[arg(long = "way")]
-    ways: Vec<Way>,
+    ways: Vec<ReturnPolicy>,
     /// Load patterns; all where none is named.
     #[arg(long = "pattern")]
     patterns: Vec<Pattern>,
@@ -60,7 +60,7 @@
 }
 
 fn run(options: &Options) -> Result<(), Error> {
-    let ways = all_or(&options.ways, &Way::ALL);
+    let ways = all_or(&options.ways, &ReturnPolicy::ALL);
     let patterns = all_or(&options.patterns, &Pattern::ALL);
     let mut rows = Vec::new();
     for pattern in &patterns {
@@ -87,7 +87,7 @@
     }
 }
 
-fn row(options: &Options, way: Way, pattern: Pattern, load: f64) -> Row {
+fn row(options: &Options, way: ReturnPolicy, pattern: Pattern, load: f64) -> Row {
     let plays = (1..=options.seeds).into_par_iter();
     let plays = plays.map(|seed| {
         let deployment = match options.drawn {
--- a/crates/gingerpier_overload/src/play.rs
+++ b/crates/gingerpier_overload/src/play.rs
@@ -14,7 +14,7 @@
 /// Milliseconds that a usual answer takes at a full engine.
 fn answer_millis(deployment: &Deployment) -> f64 {
     let model = &deployment.model;
-    f64::from(model.slots) * prediction::work_millis(model)
+    f64::from(model.slots) * prediction::mean_work_millis(model)
 }
 
 /// Milliseconds from empty engines until what comes is counted.
--- a/crates/gingerpier_overload/src/report.rs
+++ b/crates/gingerpier_overload/src/report.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{error::Error, pattern::Pattern},
-    gingerpier_serving::precedence::Way,
+    gingerpier_serving::shedding::ReturnPolicy,
     plotters::prelude::{
         BLUE, ChartBuilder, IntoDrawingArea, LineSeries, RED, RGBColor, SVGBackend, WHITE,
     },
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub struct Row {
     /// Way.
-    pub way: Way,
+    pub way: ReturnPolicy,
     /// Pattern.
     pub pattern: Pattern,
     /// Load, as a part of the capacity.
@@ -106,7 +106,7 @@
     let mut chart = ChartBuilder::on(&area)
         .margin(20)
         .build_cartesian_2d(0.0..most, 0.0..1.0)?;
-    for (way, colour) in Way::ALL.into_iter().zip(COLOURS) {
+    for (way, colour) in ReturnPolicy::ALL.into_iter().zip(COLOURS) {
         let own = shown.iter().filter(|row| row.way == way);
         let points = own.map(|row| (row.load, row.mean(|play| play.worth)));
         chart.draw_series(LineSeries::new(points, &colour))?;
--- a/crates/gingerpier_overload/src/world/attempts.rs
+++ b/crates/gingerpier_overload/src/world/attempts.rs
@@ -10,7 +10,7 @@
     },
     gingerpier_serving::{
         admission::{self, Choice},
-        returns::Visit,
+        return_detection::Visit,
     },
     std::ops::Range,
 };
@@ -122,7 +122,7 @@
                 return self.after(HOLD_LOOK_MILLIS, Event::Again(index));
             }
             Choice::Full(refusal) => {
-                let wait = self.wait_of(index, refusal.components.own);
+                let wait = self.wait_of(index, refusal.components.own_prompt_millis);
                 return self.refuse(index, &RETRY_FULL, Some(wait));
             }
             Choice::NoEngine => return self.refuse(index, &RETRY_NO_ENGINE, None),
--- a/crates/gingerpier_overload/tests/overload.rs
+++ b/crates/gingerpier_overload/tests/overload.rs
@@ -98,7 +98,7 @@
 /// Requests above an engine's slots that its reports' age explains.
 fn explained(deployment: &Deployment, load: f64) -> f64 {
     // What waits for a slot and still has its first event in time.
-    let in_time = deployment.target_millis as f64 / prediction::work_millis(&deployment.model);
+    let in_time = deployment.target_millis as f64 / prediction::mean_work_millis(&deployment.model);
     // What comes before gateways hear of it, at an engine that is the best one for all of them.
     let age = deployment.far_report_every_millis as f64 + 2.0 * deployment.far_millis;
     let unseen = load * deployment.capacity_per_milli() * age;
--- a/crates/gingerpier_serving/src/admission.rs
+++ b/crates/gingerpier_serving/src/admission.rs
@@ -11,13 +11,13 @@
     crate::{
         configuration::EngineModel,
         engine::Engine,
-        evenness::Even,
+        fairness::Adjustment,
         fleet::{EngineKey, Fleet},
-        precedence,
-        prediction::{self, Parts},
+        prediction::{self, Components},
         region::Homes,
         report::Version,
-        warmth::Terms,
+        shedding,
+        warmup::ColdLimits,
     },
     gingerpier_base::{Instant, order},
 };
@@ -86,11 +86,11 @@
     /// Fraction of the target that the first event may be predicted to take.
     pub target_share: f64,
     /// Adjustment of the bound for requests with little or much slack.
-    pub fairness: Even,
+    pub fairness: Adjustment,
     /// Regions in which the request may run.
     pub allowed_regions: Homes,
     /// Request limits of cold engines of the service.
-    pub cold_limits: Terms,
+    pub cold_limits: ColdLimits,
     /// Zone of this gateway.
     pub zone: &'a str,
     /// Number of gateways that choose among the same engines, including this one.
@@ -128,7 +128,7 @@
     /// Bound that the prediction exceeds.
     pub bound_millis: f64,
     /// Components of the prediction.
-    pub components: Parts,
+    pub components: Components,
     /// Time by which the engine's status report is overdue.
     pub overdue_millis: f64,
     /// Mean recent prediction error of the engine, scaled by its load.
@@ -138,7 +138,7 @@
 impl Refusal {
     /// Predicted time to the first event.
     pub fn predicted_millis(&self) -> f64 {
-        self.components.sum() + self.overdue_millis
+        self.components.total_millis() + self.overdue_millis
     }
 }
 
@@ -166,7 +166,7 @@
     let Some(fallback) = best_candidate(fleet, criteria, now, draw, |_| true) else {
         return Choice::NoEngine;
     };
-    let own_millis = fallback.components.own;
+    let own_millis = fallback.components.own_prompt_millis;
     // Only the queueing time is scaled: the time for the request's own prompt is the same
     // everywhere.
     let fallback_bound =
@@ -211,12 +211,12 @@
         if !engine.is_open(now) || engine.is_on_trial(now) {
             continue;
         }
-        if !engine.is_warm_for(&criteria.cold_limits, criteria.gateway_count, now) {
+        if !engine.is_within_warmup_limits(&criteria.cold_limits, criteria.gateway_count, now) {
             continue;
         }
         let components = predict(engine, criteria, unreported_per_milli, now);
         let overdue_millis = engine.silence(now) as f64;
-        let predicted = components.sum() + overdue_millis;
+        let predicted = components.total_millis() + overdue_millis;
         let lateness = engine.lateness();
         let starts_at = now.after_millis((predicted + lateness) as u64 + START_MARGIN_MILLIS);
         if !has_valid_weights(engine, criteria, now, starts_at) {
@@ -252,7 +252,7 @@
     key: EngineKey,
     /// Ranking cost, in milliseconds; lower is better.
     cost_millis: f64,
-    components: Parts,
+    components: Components,
     overdue_millis: f64,
     error_millis: f64,
 }
@@ -262,12 +262,12 @@
         Choice::Send {
             engine: self.key,
             predicted_millis: self.predicted_millis(),
-            own_millis: self.components.own,
+            own_millis: self.components.own_prompt_millis,
         }
     }
 
     fn predicted_millis(&self) -> f64 {
-        self.components.sum() + self.overdue_millis
+        self.components.total_millis() + self.overdue_millis
     }
 
     /// Predicted time to the first event plus the engine's mean prediction error.
@@ -327,9 +327,9 @@
     criteria: &Criteria<'_>,
     unreported_per_milli: f64,
     now: Instant,
-) -> Parts {
+) -> Components {
     match criteria.engine_model {
-        Some(model) => prediction::first_event(
+        Some(model) => prediction::predict_first_event(
             engine,
             model,
             criteria.prompt_tokens,
@@ -338,9 +338,9 @@
         ),
         None => {
             let default_work = PLAIN_DEFAULT_WORK_SHARE * criteria.target_millis as f64;
-            Parts {
-                own: engine.work_millis().unwrap_or(default_work) * engine.crowding(),
-                ..Parts::default()
+            Components {
+                own_prompt_millis: engine.work_millis().unwrap_or(default_work) * engine.crowding(),
+                ..Components::default()
             }
         }
     }
@@ -360,25 +360,25 @@
 }
 
 /// Returns the longest expected time to the first event at which the request is still admitted.
-fn bound_millis(criteria: &Criteria<'_>, components: &Parts) -> f64 {
+fn bound_millis(criteria: &Criteria<'_>, components: &Components) -> f64 {
     let target_millis = criteria.target_millis as f64;
     let Some(model) = criteria.engine_model else {
         return target_millis * PLAIN_TARGET_SHARE;
     };
     // A slow engine is slow when idle, too, so the idle time is scaled by its slowdown.
     let idle_millis =
-        prediction::idle_first_millis(model, criteria.prompt_tokens) * components.pace;
+        prediction::idle_first_event_millis(model, criteria.prompt_tokens) * components.slowdown;
     // Under overload, requests with much slack would otherwise fill all engines.
     let adjustment = criteria
         .fairness
-        .more_millis(slack_millis(target_millis, components.own));
+        .bound_change_millis(slack_millis(target_millis, components.own_prompt_millis));
     (target_millis * criteria.target_share + adjustment).max(idle_millis * IDLE_TOLERANCE)
 }
 
 /// Returns how long a first attempt may queue and still meet its target, if its own prompt takes
 /// `own_millis`.
 pub fn slack_millis(target_millis: f64, own_millis: f64) -> f64 {
-    target_millis * precedence::TARGET_SHARE - own_millis
+    target_millis * shedding::TARGET_SHARE - own_millis
 }
 
 /// Returns a pseudo-random cost that spreads requests over engines with similar predictions.
--- a/crates/gingerpier_serving/src/admission/availability.rs
+++ b/crates/gingerpier_serving/src/admission/availability.rs
@@ -166,14 +166,14 @@
     if !engine.is_open(now) {
         return Availability::BackingOff;
     }
-    if !engine.is_warm_for(&criteria.cold_limits, criteria.gateway_count, now) {
+    if !engine.is_within_warmup_limits(&criteria.cold_limits, criteria.gateway_count, now) {
         return Availability::Cold;
     }
     if engine.is_on_trial(now) {
         return Availability::OnTrial;
     }
     let predicted = predict(engine, criteria, unreported_per_milli, now);
-    let expected = predicted.sum() + loaded_error_millis(engine, now);
+    let expected = predicted.total_millis() + loaded_error_millis(engine, now);
     let bound = bound_millis(criteria, &predicted);
     if expected > bound {
         return Availability::Full;
--- a/crates/gingerpier_serving/src/arrivals.rs
+++ b/crates/gingerpier_serving/src/arrivals.rs
@@ -19,7 +19,7 @@
 
 impl Arrivals {
     /// Records an arrival.
-    pub fn note(&mut self, now: Instant) {
+    pub fn record(&mut self, now: Instant) {
         self.per_milli = self.decayed(now) + 1.0 / AVERAGING_MILLIS;
         self.first = self.first.or(Some(now));
         self.last = now;
--- a/crates/gingerpier_serving/src/backlog.rs
+++ b/crates/gingerpier_serving/src/backlog.rs
@@ -23,7 +23,7 @@
 
 impl Backlog {
     /// Updates the estimate from the engine's next report and returns it, in tokens.
-    pub fn note(&mut self, report: &Report, model: &EngineModel, now: Instant) -> u64 {
+    pub fn update(&mut self, report: &Report, model: &EngineModel, now: Instant) -> u64 {
         let elapsed_millis = now.millis_since(self.updated_at) as f64;
         let running = f64::from(self.active);
         let processed = elapsed_millis * read_per_milli(model, running);
--- a/crates/gingerpier_serving/src/budget.rs
+++ b/crates/gingerpier_serving/src/budget.rs
@@ -11,7 +11,7 @@
 
 /// Retry limits of all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct Limits {
     /// Retries per request.
     pub ratio: f64,
     /// Retries per window in addition to the ratio.
@@ -19,43 +19,43 @@
     /// Length of the sliding window.
     pub window_millis: u64,
     /// Gateways that share the additional retries; at least 1.
-    pub members: u32,
+    pub gateways: u32,
 }
 
 /// Retry budget of one gateway.
 #[derive(Debug, Clone)]
 pub struct Budget {
-    terms: Terms,
+    limits: Limits,
     request_times: VecDeque<Instant>,
     retry_times: VecDeque<Instant>,
 }
 
 impl Budget {
     /// Creates an unused budget.
-    pub const fn new(terms: Terms) -> Self {
+    pub const fn new(limits: Limits) -> Self {
         Self {
-            terms,
+            limits,
             request_times: VecDeque::new(),
             retry_times: VecDeque::new(),
         }
     }
 
     /// Records the current number of gateways; only a new maximum has an effect.
-    pub fn note_members(&mut self, members: u32) {
-        self.terms.members = self.terms.members.max(members);
+    pub fn record_gateway_count(&mut self, members: u32) {
+        self.limits.gateways = self.limits.gateways.max(members);
     }
 
     /// Records the first attempt of a request.
-    pub fn note_request(&mut self, now: Instant) {
+    pub fn record_first_attempt(&mut self, now: Instant) {
         self.expire(now);
         self.request_times.push_back(now);
     }
 
     /// Consumes one retry; returns false if none is left.
-    pub fn take(&mut self, now: Instant) -> bool {
+    pub fn try_spend(&mut self, now: Instant) -> bool {
         self.expire(now);
-        let earned = self.terms.ratio * SAFETY_FACTOR * self.request_times.len() as f64;
-        let extra_share = f64::from(self.terms.extra) / f64::from(self.terms.members.max(1));
+        let earned = self.limits.ratio * SAFETY_FACTOR * self.request_times.len() as f64;
+        let extra_share = f64::from(self.limits.extra) / f64::from(self.limits.gateways.max(1));
         let limit = earned + extra_share.floor();
         if self.retry_times.len() as f64 + 1.0 > limit {
             return false;
@@ -65,7 +65,7 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        let window = self.terms.window_millis;
+        let window = self.limits.window_millis;
         for times in [&mut self.request_times, &mut self.retry_times] {
             while times
                 .front()
--- a/crates/gingerpier_serving/src/engine.rs
+++ b/crates/gingerpier_serving/src/engine.rs
@@ -9,7 +9,7 @@
         mirror::Revision,
         region::RegionKey,
         report::{Born, Report, Version},
-        warmth::{Terms, Warmth},
+        warmup::{ColdLimits, Warmup},
     },
     gingerpier_base::Instant,
     std::collections::VecDeque,
@@ -117,7 +117,7 @@
     /// True while its zone is evacuated.
     pub(crate) is_evacuated: bool,
     /// Warm-up state.
-    pub warmth: Warmth,
+    pub warmup: Warmup,
     backoff_until: Instant,
     consecutive_failures: u32,
     failure_share: f64,
@@ -148,7 +148,7 @@
             is_replaced: false,
             region: None,
             is_evacuated: false,
-            warmth: Warmth::default(),
+            warmup: Warmup::default(),
             backoff_until: Instant::default(),
             consecutive_failures: 0,
             failure_share: 0.0,
@@ -207,8 +207,13 @@
     }
 
     /// True if the warm-up limits let one of `gateways` send a request now.
-    pub fn is_warm_for(&self, terms: &Terms, gateways: u32, now: Instant) -> bool {
-        self.warmth.admits(terms, gateways, now)
+    pub fn is_within_warmup_limits(
+        &self,
+        limits: &ColdLimits,
+        gateways: u32,
+        now: Instant,
+    ) -> bool {
+        self.warmup.allows_request(limits, gateways, now)
     }
 
     /// Estimates the requests of all gateways at the engine.
@@ -342,7 +347,7 @@
 
     /// Records a request with this prompt length as sent.
     pub fn note_sent(&mut self, tokens: u64, now: Instant) {
-        self.warmth.note_sent(now);
+        self.warmup.record_sent(now);
         self.load.in_flight += 1;
         self.load.waiting += 1;
         self.load.waiting_tokens += tokens;
--- a/crates/gingerpier_serving/src/evenness.rs
+++ b/crates/gingerpier_serving/src/fairness.rs
@@ -6,13 +6,13 @@
 //! are therefore moved toward one common slack.
 //!
 //! ```
-//! use {gingerpier_base::Instant, gingerpier_serving::evenness::Waits};
+//! use {gingerpier_base::Instant, gingerpier_serving::fairness::SlackStats};
 //!
-//! let mut waits = Waits::default();
+//! let mut stats = SlackStats::default();
 //! for millis in [300.0, 310.0, 290.0, 300.0, 100.0] {
-//!     waits.note(millis, Instant::from_millis(1_000));
+//!     stats.record(millis, Instant::from_millis(1_000));
 //! }
-//! let common = waits.common_millis().expect("requests came");
+//! let common = stats.common_slack_millis().expect("requests came");
 //! assert!((100.0..290.0).contains(&common), "most could wait longer");
 //! ```
 
@@ -33,33 +33,33 @@
 
 /// Adjustment of the admission bound toward a common slack.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Even {
+pub struct Adjustment {
     /// Weight of the common slack: 0 uses only the request's own slack, 1 only the common one.
-    pub share: f64,
+    pub weight: f64,
     /// Common slack.
-    pub wait_millis: f64,
+    pub common_slack_millis: f64,
 }
 
-impl Even {
+impl Adjustment {
     /// Returns the change of the bound for a request with `slack_millis` of slack; negative if it has
     /// more than the common slack.
-    pub fn more_millis(&self, slack_millis: f64) -> f64 {
-        self.share * (self.wait_millis - slack_millis)
+    pub fn bound_change_millis(&self, slack_millis: f64) -> f64 {
+        self.weight * (self.common_slack_millis - slack_millis)
     }
 }
 
 /// Distribution of the slack of recent requests.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Waits {
+pub struct SlackStats {
     updated_at: Instant,
     count: f64,
     mean: f64,
     mean_of_squares: f64,
 }
 
-impl Waits {
+impl SlackStats {
     /// Records a request with `slack_millis` of slack.
-    pub fn note(&mut self, slack_millis: f64, now: Instant) {
+    pub fn record(&mut self, slack_millis: f64, now: Instant) {
         let decay = (-(now.millis_since(self.updated_at) as f64) / AVERAGING_MILLIS).exp();
         self.updated_at = now;
         self.count = self.count * decay + 1.0;
@@ -68,7 +68,7 @@
     }
 
     /// Returns the slack that nearly all recent requests have; `None` after too few requests.
-    pub fn common_millis(&self) -> Option<f64> {
+    pub fn common_slack_millis(&self) -> Option<f64> {
         let variance = (self.mean_of_squares - self.mean * self.mean).max(0.0);
         let lower_bound = self.mean - DEVIATIONS_BELOW_MEAN * variance.sqrt();
         (self.count >= MIN_COUNT).then_some(lower_bound.max(MIN_SHARE_OF_MEAN * self.mean))
--- a/crates/gingerpier_serving/src/fleet.rs
+++ b/crates/gingerpier_serving/src/fleet.rs
@@ -128,7 +128,7 @@
             }
             engine.is_evacuated = is_evacuated;
             if !is_evacuated {
-                engine.warmth.note_doubt(now);
+                engine.warmup.record_possible_cooling(now);
             }
         }
     }
--- a/crates/gingerpier_serving/src/lib.rs
+++ b/crates/gingerpier_serving/src/lib.rs
@@ -4,20 +4,20 @@
 //! The platform's store holds the configuration and lists the engines, so gateways keep no log of
 //! their own. A gateway replicates the store in a [`mirror`], reads a [`configuration`] and a
 //! [`fleet`] of engines from it, and decides for each request whether it is admitted and which
-//! engine runs it ([`admission`]), and how failed attempts are retried ([`course`], [`budget`]).
+//! engine runs it ([`admission`]), and how failed attempts are retried ([`retry`], [`budget`]).
 //! All modules are plain data and functions without I/O: time and events are arguments.
 //!
 //! ```
 //! use {
 //!     gingerpier_base::Instant,
-//!     gingerpier_serving::budget::{Budget, Terms},
+//!     gingerpier_serving::budget::{Budget, Limits},
 //! };
 //!
-//! let terms = Terms { ratio: 0.2, extra: 1, window_millis: 10_000, members: 1 };
-//! let mut budget = Budget::new(terms);
+//! let limits = Limits { ratio: 0.2, extra: 1, window_millis: 10_000, gateways: 1 };
+//! let mut budget = Budget::new(limits);
 //! let now = Instant::from_millis(0);
-//! assert!(budget.take(now), "one retry is free");
-//! assert!(!budget.take(now), "a second one needs requests that pay for it");
+//! assert!(budget.try_spend(now), "one retry is free");
+//! assert!(!budget.try_spend(now), "a second one needs requests that pay for it");
 //! ```
 
 pub mod admission;
@@ -27,27 +27,27 @@
 pub mod bringing;
 pub mod budget;
 pub mod configuration;
-pub mod course;
 pub mod dialect;
 pub mod engine;
-pub mod evenness;
 pub mod events;
+pub mod fairness;
 pub mod fleet;
 pub mod liveness;
 pub mod mark;
 pub mod mirror;
 pub mod naming;
 pub mod outage;
-pub mod pace;
-pub mod precedence;
+pub mod pacing;
 pub mod prediction;
 pub mod region;
 pub mod report;
-pub mod returns;
+pub mod retry;
+pub mod return_detection;
+pub mod shedding;
 pub mod sizes;
 pub mod suspects;
 pub mod trials;
 pub mod unnamed;
-pub mod warmth;
+pub mod warmup;
 pub mod watching;
 pub mod zones;
--- a/crates/gingerpier_serving/src/pace.rs
+++ b/crates/gingerpier_serving/src/pacing.rs
@@ -7,12 +7,12 @@
 
 /// Schedule of bulk transfers on one link.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct Pacer {
     bytes_per_milli: f64,
     free_at_micros: u64,
 }
 
-impl Pace {
+impl Pacer {
     /// Creates the schedule of a link with this bandwidth.
     pub fn new(link_bits_per_second: u64) -> Self {
         Self {
--- a/crates/gingerpier_serving/src/prediction.rs
+++ b/crates/gingerpier_serving/src/prediction.rs
@@ -33,67 +33,67 @@
 }
 
 /// Returns the engine time that an average request takes when all slots are in use.
-pub fn work_millis(model: &EngineModel) -> f64 {
+pub fn mean_work_millis(model: &EngineModel) -> f64 {
     let slots = f64::from(model.slots.max(1));
     let passes = f64::from(model.usual_answer) / f64::from(model.stride.max(1));
-    passes * pass_millis(model, slots) / slots + usual_reading_millis(model)
+    passes * pass_millis(model, slots) / slots + mean_prompt_millis(model)
 }
 
 /// Returns the time in which an engine processes an average prompt.
-pub fn usual_reading_millis(model: &EngineModel) -> f64 {
+pub fn mean_prompt_millis(model: &EngineModel) -> f64 {
     f64::from(model.usual_prompt) / model.read_per_milli
 }
 
 /// Returns the time to the first event on an idle engine.
-pub fn idle_first_millis(model: &EngineModel, prompt_tokens: u64) -> f64 {
+pub fn idle_first_event_millis(model: &EngineModel, prompt_tokens: u64) -> f64 {
     PASSES_TO_FIRST_EVENT * pass_millis(model, 0.0)
         + prompt_millis(model, prompt_tokens as f64, 0.0)
 }
 
 /// Components of a predicted time to the first event, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Parts {
+pub struct Components {
     /// Wait for a slot.
-    pub queue: f64,
+    pub queue_millis: f64,
     /// Passes together with the running requests.
-    pub passes: f64,
+    pub pass_millis: f64,
     /// Prompts of other requests that are processed first.
-    pub others: f64,
+    pub other_prompts_millis: f64,
     /// The request's own prompt.
-    pub own: f64,
+    pub own_prompt_millis: f64,
     /// Slowdown factor of the engine, already applied to all components; 1 is normal.
-    pub pace: f64,
+    pub slowdown: f64,
 }
 
-impl Default for Parts {
+impl Default for Components {
     /// Zero duration without slowdown.
     fn default() -> Self {
         Self {
-            queue: 0.0,
-            passes: 0.0,
-            others: 0.0,
-            own: 0.0,
-            pace: 1.0,
+            queue_millis: 0.0,
+            pass_millis: 0.0,
+            other_prompts_millis: 0.0,
+            own_prompt_millis: 0.0,
+            slowdown: 1.0,
         }
     }
 }
 
-impl Parts {
+impl Components {
     /// Returns the total time.
-    pub fn sum(&self) -> f64 {
-        self.queue + self.passes + self.others + self.own
+    pub fn total_millis(&self) -> f64 {
+        self.queue_millis + self.pass_millis + self.other_prompts_millis + self.own_prompt_millis
     }
 }
 
 /// Predicts the time to the first event on `engine`. `unreported_per_milli` is the rate at which other
 /// gateways send requests to each engine.
-pub fn first_event(
+pub fn predict_first_event(
     engine: &Engine,
     model: &EngineModel,
     prompt_tokens: u64,
     unreported_per_milli: f64,
     now: Instant,
-) -> Parts {
+) -> Components {
     let age_millis = engine.report_age(now).unwrap_or_default();
     let age_millis = age_millis.min(MAX_UNREPORTED_MILLIS) as f64;
     let unreported = SELECTION_BIAS * unreported_per_milli * age_millis;
@@ -101,7 +101,7 @@
     let requests = load.requests + unreported;
     let slots = f64::from(model.slots);
     let running = requests.min(slots);
-    let queue = (requests + 1.0 - slots).max(0.0) * work_millis(model);
+    let queue = (requests + 1.0 - slots).max(0.0) * mean_work_millis(model);
     let passes = PASSES_TO_FIRST_EVENT + REMAINING_PASS_SHARE * running.min(1.0);
     // The prompts of queued requests are part of the queueing time.
     let unreported_tokens = unreported.min(slots) * f64::from(model.usual_prompt);
@@ -109,13 +109,13 @@
         remaining_tokens(model, load.unread_tokens, running, age_millis) + unreported_tokens;
     let others = prompt_millis(model, tokens_ahead, running);
     let prompt_millis_total = prompt_millis(model, prompt_tokens as f64 + tokens_ahead, running);
-    let pace = engine.latest(now).pace.max(1.0);
-    Parts {
-        queue: queue * pace,
-        passes: passes * pass_millis(model, running) * pace,
-        others: others * pace,
-        own: (prompt_millis_total - others) * pace,
-        pace,
+    let slowdown = engine.latest(now).pace.max(1.0);
+    Components {
+        queue_millis: queue * slowdown,
+        pass_millis: passes * pass_millis(model, running) * slowdown,
+        other_prompts_millis: others * slowdown,
+        own_prompt_millis: (prompt_millis_total - others) * slowdown,
+        slowdown,
     }
 }
 
--- a/crates/gingerpier_serving/src/course.rs
+++ b/crates/gingerpier_serving/src/retry.rs
@@ -11,11 +11,11 @@
     Unknown,
 }
 
-/// Next action for a request.
+/// Action action for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum Action {
     /// Send it to another engine.
-    TryAnother,
+    Retry,
     /// Respond that the request hasn't run and never will.
     Refuse,
     /// Respond that the request may have run.
@@ -26,7 +26,7 @@
 
 /// Retry state of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Standing {
+pub struct RetryState {
     /// Whether it may run more than once.
     pub repeat: Repeat,
     /// Number of attempts so far.
@@ -42,40 +42,40 @@
 /// Remaining time below which no further attempt is made.
 const MIN_REMAINING_MILLIS: u64 = 20;
 
-impl Standing {
+impl RetryState {
     /// Records a failed attempt and returns the next action. `take_retry` takes a retry from the budget;
     /// it is only called if everything else permits a retry.
-    pub fn after<F>(&mut self, failure: Failure, now: Instant, take_retry: F) -> Next
+    pub fn record_failure<F>(&mut self, failure: Failure, now: Instant, take_retry: F) -> Action
     where
         F: FnOnce() -> bool,
     {
         self.may_have_run |= failure == Failure::Unknown;
         if self.deadline.has_passed(now) {
-            return self.timed_out();
+            return self.timeout_action();
         }
         let may_run_again = !self.may_have_run || self.repeat.is_idempotent();
         let has_time = self.deadline.millis_since(now) >= MIN_REMAINING_MILLIS;
         if may_run_again && has_time && self.attempts < self.max_attempts && take_retry() {
-            return Next::TryAnother;
+            return Action::Retry;
         }
-        self.give_up()
+        self.final_action()
     }
 
     /// Returns the final action if no other engine is available.
-    pub const fn give_up(&self) -> Next {
+    pub const fn final_action(&self) -> Action {
         if self.may_have_run {
-            Next::Fail
+            Action::Fail
         } else {
-            Next::Refuse
+            Action::Refuse
         }
     }
 
     /// Returns the final action after the deadline.
-    pub const fn timed_out(&self) -> Next {
+    pub const fn timeout_action(&self) -> Action {
         if self.may_have_run {
-            Next::TimeOut
+            Action::TimeOut
         } else {
-            Next::Refuse
+            Action::Refuse
         }
     }
 }
--- a/crates/gingerpier_serving/src/returns.rs
+++ b/crates/gingerpier_serving/src/return_detection.rs
@@ -93,7 +93,7 @@
         self.updated_at = now;
     }
 
-    /// Returns true if the recent refusal rate is low enough for learning.
+    /// Detector true if the recent refusal rate is low enough for learning.
     fn is_low(&self, now: Instant) -> bool {
         let is_long_enough = now.millis_since(self.started_at) as f64 >= AVERAGING_MILLIS;
         is_long_enough && self.refused <= LOW_REFUSAL_RATE * self.requests
@@ -187,12 +187,12 @@
 
 /// State of the detection at one gateway.
 #[derive(Debug, Clone)]
-pub struct Returns {
+pub struct Detector {
     refusal_rate: RefusalRate,
     routes: HashMap<String, PatienceSamples>,
 }
 
-impl Returns {
+impl Detector {
     /// Creates the state without any samples.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -203,7 +203,7 @@
 
     /// Classifies a request of `route` and learns from it. `patience_millis` is the caller's remaining
     /// patience in milliseconds; `None` or 0 if not stated.
-    pub fn take(&mut self, route: &str, patience_millis: Option<u64>, now: Instant) -> Visit {
+    pub fn classify(&mut self, route: &str, patience_millis: Option<u64>, now: Instant) -> Visit {
         self.refusal_rate.decay(now);
         self.refusal_rate.requests += 1.0;
         let Some(patience_millis) = patience_millis.filter(|patience_millis| *patience_millis > 0)
@@ -228,14 +228,14 @@
     }
 
     /// Records a refused request.
-    pub fn note_refused(&mut self, now: Instant) {
+    pub fn record_refusal(&mut self, now: Instant) {
         self.refusal_rate.decay(now);
         self.refusal_rate.refused += 1.0;
     }
 
-    /// Returns the shortest retry delay after which a caller of `route` is recognized as returning;
+    /// Detector the shortest retry delay after which a caller of `route` is recognized as returning;
     /// `None` if no range is known.
-    pub fn told_apart_millis(&self, route: &str) -> Option<u64> {
+    pub fn recognizable_after_millis(&self, route: &str) -> Option<u64> {
         let range = self.routes.get(route)?.range.as_ref()?;
         Some(range.end() - range.start() + 2 * TOLERANCE_MILLIS)
     }
--- a/crates/gingerpier_serving/src/precedence.rs
+++ b/crates/gingerpier_serving/src/shedding.rs
@@ -7,8 +7,8 @@
 
 use {
     crate::{
-        evenness::{Even, Waits},
-        returns::Visit,
+        fairness::{Adjustment, SlackStats},
+        return_detection::Visit,
     },
     displaydoc::Display,
     gingerpier_base::Instant,
@@ -23,7 +23,7 @@
 
 /// Lowest fraction for returning callers with an adaptive reduction; an engine with a free slot
 /// meets it.
-pub const LEFT_SHARE: f64 = 0.25;
+pub const MIN_TARGET_SHARE: f64 = 0.25;
 
 /// Refusal rate of first attempts at which the adaptive reduction is complete.
 const FULL_REDUCTION_REFUSAL_RATE: f64 = 0.03;
@@ -38,22 +38,22 @@
 
 /// Treatment of returning callers relative to first attempts.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Way {
+pub enum ReturnPolicy {
     /// alike
-    Alike,
+    Equal,
     /// smaller share
-    SmallerShare,
+    Reduced,
     /// what is left
     #[default]
-    WhatIsLeft,
+    Adaptive,
 }
 
-impl Way {
+impl ReturnPolicy {
     /// All values.
-    pub const ALL: [Self; 3] = [Self::Alike, Self::SmallerShare, Self::WhatIsLeft];
+    pub const ALL: [Self; 3] = [Self::Equal, Self::Reduced, Self::Adaptive];
 }
 
-impl FromStr for Way {
+impl FromStr for ReturnPolicy {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -66,17 +66,17 @@
 
 /// Refusal rate and slack of recent first attempts at one gateway.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Precedence {
-    policy: Way,
+pub struct Controller {
+    policy: ReturnPolicy,
     updated_at: Instant,
     first_attempts: f64,
     refused: f64,
-    waits: Waits,
+    waits: SlackStats,
 }
 
-impl Precedence {
+impl Controller {
     /// Creates an empty state with this treatment of returning callers.
-    pub fn new(policy: Way) -> Self {
+    pub fn new(policy: ReturnPolicy) -> Self {
         Self {
             policy,
             ..Self::default()
@@ -85,7 +85,7 @@
 
     /// Records whether a request was refused and its slack in milliseconds, if known. Requests of
     /// returning callers are ignored.
-    pub fn note(
+    pub fn record(
         &mut self,
         visit: Visit,
         is_refused: bool,
@@ -96,7 +96,7 @@
             return;
         }
         if let Some(slack_millis) = slack_millis {
-            self.waits.note(slack_millis, now);
+            self.waits.record(slack_millis, now);
         }
         let decay = self.decay(now);
         self.first_attempts = self.first_attempts * decay + 1.0;
@@ -110,25 +110,25 @@
 
     /// Returns the fraction of the target that the first event of such a request may be predicted
     /// to take.
-    pub fn share(&self, visit: Visit, now: Instant) -> f64 {
+    pub fn target_share(&self, visit: Visit, now: Instant) -> f64 {
         match (visit, self.policy) {
-            (Visit::First | Visit::Unknown, _) | (_, Way::Alike) => TARGET_SHARE,
-            (Visit::Returned, Way::SmallerShare) => REDUCED_TARGET_SHARE,
-            (Visit::Returned, Way::WhatIsLeft) => {
+            (Visit::First | Visit::Unknown, _) | (_, ReturnPolicy::Equal) => TARGET_SHARE,
+            (Visit::Returned, ReturnPolicy::Reduced) => REDUCED_TARGET_SHARE,
+            (Visit::Returned, ReturnPolicy::Adaptive) => {
                 let reduction = self.refusal_rate(now) / FULL_REDUCTION_REFUSAL_RATE;
-                TARGET_SHARE - (TARGET_SHARE - LEFT_SHARE) * reduction.min(1.0)
+                TARGET_SHARE - (TARGET_SHARE - MIN_TARGET_SHARE) * reduction.min(1.0)
             }
         }
     }
 
     /// Returns the current adjustment toward a common slack.
-    pub fn even(&self, now: Instant) -> Even {
-        let Some(wait_millis) = self.waits.common_millis() else {
-            return Even::default();
+    pub fn fairness(&self, now: Instant) -> Adjustment {
+        let Some(common_slack_millis) = self.waits.common_slack_millis() else {
+            return Adjustment::default();
         };
-        Even {
-            share: (self.refusal_rate(now) / FULL_FAIRNESS_REFUSAL_RATE).min(1.0),
-            wait_millis,
+        Adjustment {
+            weight: (self.refusal_rate(now) / FULL_FAIRNESS_REFUSAL_RATE).min(1.0),
+            common_slack_millis,
         }
     }
 
--- a/crates/gingerpier_serving/src/sizes.rs
+++ b/crates/gingerpier_serving/src/sizes.rs
@@ -7,9 +7,9 @@
 //!
 //! let mut sizes = Sizes::default();
 //! for tokens in [900, 1_100, 1_000] {
-//!     sizes.note("summary", tokens);
+//!     sizes.record("summary", tokens);
 //! }
-//! assert_eq!(sizes.note("summary", 5_000), Some(Band::Largest));
+//! assert_eq!(sizes.record("summary", 5_000), Some(Band::Largest));
 //! ```
 
 use {displaydoc::Display, std::collections::HashMap};
@@ -69,7 +69,7 @@
     }
 
     /// Records a prompt and returns its size class; `None` without a prompt.
-    pub fn note(&mut self, route: &str, tokens: u64) -> Option<Band> {
+    pub fn record(&mut self, route: &str, tokens: u64) -> Option<Band> {
         if tokens == 0 {
             return None;
         }
--- a/crates/gingerpier_serving/tests/decisions.rs
+++ b/crates/gingerpier_serving/tests/decisions.rs
@@ -12,16 +12,16 @@
             Configuration, EngineModel, Limits, Repeat, Route, Service, ServiceKey, ServiceKind,
             Target, Tenant,
         },
-        course::{Failure, Next, Standing},
-        evenness::Even,
         events::Splitter,
+        fairness::Adjustment,
         fleet::{EngineKey, Fleet, Record, State},
         mirror::{Item, Mirror, Revision},
-        pace::Pace,
-        precedence, prediction,
+        pacing::Pacer,
+        prediction,
         region::Homes,
         report::{Held, Report, Version},
-        warmth,
+        retry::{Action, Failure, RetryState},
+        shedding, warmup,
     },
     proptest::prelude::*,
 };
@@ -107,15 +107,15 @@
         resume_version: None,
         prompt_tokens: 0,
         target_millis: 500,
-        target_share: precedence::TARGET_SHARE,
-        fairness: Even::default(),
+        target_share: shedding::TARGET_SHARE,
+        fairness: Adjustment::default(),
         gateway_count: 6,
         zone: "z",
         other_arrivals_per_milli: 0.0,
         tried_engines: &[],
         may_crash_engine: false,
         allowed_regions: Homes::ANYWHERE,
-        cold_limits: warmth::Terms::NEVER,
+        cold_limits: warmup::ColdLimits::NEVER_COLD,
     }
 }
 
@@ -172,18 +172,24 @@
         }
     };
     let (average, large) = (refusal(979), refusal(2_937));
-    assert_eq!(average.components.queue, large.components.queue);
-    assert_eq!(average.components.others, large.components.others);
+    assert_eq!(
+        average.components.queue_millis,
+        large.components.queue_millis
+    );
+    assert_eq!(
+        average.components.other_prompts_millis,
+        large.components.other_prompts_millis
+    );
     assert!(
-        large.components.own > 2.9 * average.components.own,
+        large.components.own_prompt_millis > 2.9 * average.components.own_prompt_millis,
         "{large:?}"
     );
-    let sum = large.components.queue
-        + large.components.passes
-        + large.components.others
-        + large.components.own;
+    let sum = large.components.queue_millis
+        + large.components.pass_millis
+        + large.components.other_prompts_millis
+        + large.components.own_prompt_millis;
     assert_eq!(large.predicted_millis(), sum);
-    assert_eq!(large.bound_millis, 500.0 * precedence::TARGET_SHARE);
+    assert_eq!(large.bound_millis, 500.0 * shedding::TARGET_SHARE);
 }
 
 /// Guards against permanent refusal of a prompt that misses its target even on an idle engine.
@@ -237,7 +243,7 @@
     let returned = Criteria {
         gateway_count: 40,
         target_millis: 400,
-        target_share: precedence::LEFT_SHARE,
+        target_share: shedding::MIN_TARGET_SHARE,
         ..criteria(&model, &[], &tried)
     };
     let (mut fleet, keys) = fleet(40);
@@ -423,8 +429,8 @@
     assert_eq!(selected_engine(choice), None);
 }
 
-fn standing(repeat: Repeat) -> Standing {
-    Standing {
+fn retry_state(repeat: Repeat) -> RetryState {
+    RetryState {
         repeat,
         attempts: 1,
         max_attempts: 2,
@@ -436,46 +442,61 @@
 #[test]
 fn non_idempotent_request_is_not_retried_after_it_may_have_run() {
     let pay = || true;
-    let mut once = standing(Repeat::Once);
-    assert_eq!(once.after(Failure::Unknown, at(0), pay), Next::Fail);
-    let mut safe = standing(Repeat::Safe);
-    assert_eq!(safe.after(Failure::Unknown, at(0), pay), Next::TryAnother);
-    let mut once = standing(Repeat::Once);
-    assert_eq!(once.after(Failure::NotRun, at(0), pay), Next::TryAnother);
+    let mut once = retry_state(Repeat::Once);
+    assert_eq!(
+        once.record_failure(Failure::Unknown, at(0), pay),
+        Action::Fail
+    );
+    let mut safe = retry_state(Repeat::Safe);
+    assert_eq!(
+        safe.record_failure(Failure::Unknown, at(0), pay),
+        Action::Retry
+    );
+    let mut once = retry_state(Repeat::Once);
+    assert_eq!(
+        once.record_failure(Failure::NotRun, at(0), pay),
+        Action::Retry
+    );
 }
 
 #[test]
 fn request_that_may_have_run_is_never_reported_as_not_run() {
-    let mut once = standing(Repeat::Once);
-    assert_eq!(once.after(Failure::NotRun, at(0), || false), Next::Refuse);
+    let mut once = retry_state(Repeat::Once);
     assert_eq!(
-        once.after(Failure::NotRun, at(2_000), || true),
-        Next::Refuse
+        once.record_failure(Failure::NotRun, at(0), || false),
+        Action::Refuse
     );
     assert_eq!(
-        once.after(Failure::Unknown, at(2_000), || true),
-        Next::TimeOut
+        once.record_failure(Failure::NotRun, at(2_000), || true),
+        Action::Refuse
+    );
+    assert_eq!(
+        once.record_failure(Failure::Unknown, at(2_000), || true),
+        Action::TimeOut
     );
     // Confirmation that a later attempt didn't run doesn't apply to the first one.
-    assert_eq!(once.after(Failure::NotRun, at(0), || true), Next::Fail);
+    assert_eq!(
+        once.record_failure(Failure::NotRun, at(0), || true),
+        Action::Fail
+    );
 }
 
-fn terms() -> budget::Terms {
-    budget::Terms {
+fn limits() -> budget::Limits {
+    budget::Limits {
         ratio: 0.2,
         extra: 100,
         window_millis: 10_000,
-        members: 10,
+        gateways: 10,
     }
 }
 
 #[test]
 fn extra_retries_are_divided_among_gateways_and_renewed_after_a_window() {
-    let mut budget = Budget::new(terms());
-    let taken = (0..100).filter(|_| budget.take(at(0))).count();
+    let mut budget = Budget::new(limits());
+    let taken = (0..100).filter(|_| budget.try_spend(at(0))).count();
     assert_eq!(taken, 10);
-    assert!(!budget.take(at(9_000)));
-    assert!(budget.take(at(10_001)));
+    assert!(!budget.try_spend(at(9_000)));
+    assert!(budget.try_spend(at(10_001)));
 }
 
 proptest! {
@@ -483,14 +504,14 @@
     fn retries_of_all_gateways_stay_within_the_bound(
         steps in prop::collection::vec((0_u64..400, any::<bool>(), 0_usize..10), 1..400),
     ) {
-        let mut budgets = vec![Budget::new(terms()); 10];
+        let mut budgets = vec![Budget::new(limits()); 10];
         let (mut now, mut requests, mut retries) = (0, Vec::new(), Vec::new());
         for (wait, is_request, gateway) in steps {
             now += wait;
             if is_request {
-                budgets[gateway].note_request(at(now));
+                budgets[gateway].record_first_attempt(at(now));
                 requests.push(now);
-            } else if budgets[gateway].take(at(now)) {
+            } else if budgets[gateway].try_spend(at(now)) {
                 retries.push(now);
             }
             let within = |times: &[u64]| times.iter().filter(|time| now - **time <= 10_000).count();
@@ -709,7 +730,8 @@
     }
     let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert_eq!(selected_engine(choice), Some(keys[1]));
-    let first = prediction::first_event(fleet.engine(keys[0]), &model, 979, 0.0, at(0)).sum();
+    let first = prediction::predict_first_event(fleet.engine(keys[0]), &model, 979, 0.0, at(0))
+        .total_millis();
     assert!(
         first > 9_979.0 / 20.7,
         "{first} ms, but all pending prompts are processed first"
@@ -723,7 +745,7 @@
     fleet.engine_mut(keys[0]).note_report(report(1, 4), at(0));
     let first = |now| {
         let engine = fleet.engine(keys[0]);
-        prediction::first_event(engine, &model, 979, 0.01, now).sum()
+        prediction::predict_first_event(engine, &model, 979, 0.01, now).total_millis()
     };
     assert!(first(at(200)) > first(at(20)) + 100.0);
 }
@@ -736,14 +758,14 @@
         memory_used,
         ..report(1, active)
     };
-    backlog.note(&report(0, 0), &model, at(0));
-    let admitted = backlog.note(&report(4, 4_000), &model, at(50));
+    backlog.update(&report(0, 0), &model, at(0));
+    let admitted = backlog.update(&report(4, 4_000), &model, at(50));
     assert!((3_900..=4_000).contains(&admitted), "{admitted}");
-    let remaining = backlog.note(&report(4, 4_000), &model, at(150));
+    let remaining = backlog.update(&report(4, 4_000), &model, at(150));
     assert!(remaining < 3_000, "{remaining} tokens left after 100 ms");
-    let later = backlog.note(&report(4, 4_100), &model, at(1_150));
+    let later = backlog.update(&report(4, 4_100), &model, at(1_150));
     assert!(later < 100, "answers also grow memory: {later}");
-    let gone = backlog.note(&report(0, 0), &model, at(1_200));
+    let gone = backlog.update(&report(0, 0), &model, at(1_200));
     assert_eq!(gone, 0, "tokens that are not in memory need no processing");
 }
 
@@ -794,7 +816,7 @@
 fn arrival_rate_follows_recent_arrivals() {
     let mut arrivals = Arrivals::default();
     for turn in 0..50 {
-        arrivals.note(at(turn * 10));
+        arrivals.record(at(turn * 10));
     }
     let soon = arrivals.per_milli(at(500));
     assert!(
@@ -802,7 +824,7 @@
         "{soon} half a second after the first"
     );
     for turn in 50..1_000 {
-        arrivals.note(at(turn * 10));
+        arrivals.record(at(turn * 10));
     }
     let rate = arrivals.per_milli(at(10_000));
     assert!((0.09..0.11).contains(&rate), "{rate}");
@@ -814,7 +836,7 @@
 
 #[test]
 fn bulk_transfers_leave_part_of_the_link_free() {
-    let mut pace = Pace::new(8_000_000);
+    let mut pace = Pacer::new(8_000_000);
     assert_eq!(pace.reserve(1_000, at(0)), at(0));
     let mut last = at(0);
     for _ in 0..100 {
--- a/crates/gingerpier_serving/tests/evenness.rs
+++ b/crates/gingerpier_serving/tests/fairness.rs
@@ -6,14 +6,14 @@
     gingerpier_serving::{
         admission::{self, Choice, Criteria},
         configuration::EngineModel,
-        evenness::{Even, Waits},
+        fairness::{Adjustment, SlackStats},
         fleet::{Fleet, Record, State},
         mirror::Revision,
-        precedence::{self, Precedence},
         region::Homes,
         report::{Held, Report, Version},
-        returns::Visit,
-        warmth::Terms,
+        return_detection::Visit,
+        shedding::{self, Controller},
+        warmup::ColdLimits,
     },
 };
 
@@ -68,7 +68,7 @@
 
 /// Returns the highest number of running requests at which the engine still admits a request.
 fn max_running_at_admission(
-    fairness: Even,
+    fairness: Adjustment,
     target_share: f64,
     prompt_tokens: u64,
     target_millis: u64,
@@ -90,7 +90,7 @@
         tried_engines: &[],
         may_crash_engine: false,
         allowed_regions: Homes::ANYWHERE,
-        cold_limits: Terms::NEVER,
+        cold_limits: ColdLimits::NEVER_COLD,
     };
     let is_admitted = |active: &u32| {
         let choice = admission::choose(&fleet(*active), &criteria, at(0), 0);
@@ -99,14 +99,14 @@
     (0..40).take_while(is_admitted).last().unwrap_or_default()
 }
 
-const FIRST_ATTEMPT_SHARE: f64 = precedence::TARGET_SHARE;
+const FIRST_ATTEMPT_SHARE: f64 = shedding::TARGET_SHARE;
 
 #[test]
 fn under_overload_refusal_does_not_depend_on_prompt_or_target() {
-    let inactive = Even::default();
-    let active = Even {
-        share: 1.0,
-        wait_millis: 200.0,
+    let inactive = Adjustment::default();
+    let active = Adjustment {
+        weight: 1.0,
+        common_slack_millis: 200.0,
     };
     let all = [
         (100, 500),
@@ -135,11 +135,19 @@
 
 /// Creates a controller after 100 first attempts in one second, of which one in
 /// `refusal_interval` was refused.
-fn controller_after_refusals(refusal_interval: u64, wait: impl Fn(u64) -> f64) -> Precedence {
-    let mut controller = Precedence::default();
+fn controller_after_refusals(
+    refusal_interval: u64,
+    slack_millis: impl Fn(u64) -> f64,
+) -> Controller {
+    let mut controller = Controller::default();
     for step in 0..100 {
         let is_refused = step % refusal_interval == 0;
-        controller.note(Visit::First, is_refused, Some(wait(step)), at(10 * step));
+        controller.record(
+            Visit::First,
+            is_refused,
+            Some(slack_millis(step)),
+            at(10 * step),
+        );
     }
     controller
 }
@@ -147,37 +155,44 @@
 #[test]
 fn fairness_applies_only_during_overload() {
     let calm = controller_after_refusals(1_000, |_| 300.0);
-    assert!(calm.even(at(1_000)).share < 0.2, "a single refusal");
+    assert!(calm.fairness(at(1_000)).weight < 0.2, "a single refusal");
     let mut overloaded = controller_after_refusals(2, |_| 300.0);
-    assert_eq!(overloaded.even(at(1_000)).share, 1.0);
+    assert_eq!(overloaded.fairness(at(1_000)).weight, 1.0);
     for step in 0..300 {
-        overloaded.note(Visit::First, false, Some(300.0), at(1_000 + 10 * step));
+        overloaded.record(Visit::First, false, Some(300.0), at(1_000 + 10 * step));
     }
-    assert!(overloaded.even(at(4_000)).share < 0.3, "no refusal for 3 s");
+    assert!(
+        overloaded.fairness(at(4_000)).weight < 0.3,
+        "no refusal for 3 s"
+    );
 }
 
 /// Guards against idle capacity caused by a few requests without slack.
 #[test]
 fn few_requests_without_slack_do_not_lower_the_common_slack() {
-    let wait = |step| if step % 20 == 0 { -2_000.0 } else { 300.0 };
-    let even = controller_after_refusals(2, wait).even(at(1_000));
-    assert!(even.wait_millis > 80.0, "{even:?}");
-    assert!(even.wait_millis < 300.0, "{even:?}");
+    let slack_millis = |step| if step % 20 == 0 { -2_000.0 } else { 300.0 };
+    let even = controller_after_refusals(2, slack_millis).fairness(at(1_000));
+    assert!(even.common_slack_millis > 80.0, "{even:?}");
+    assert!(even.common_slack_millis < 300.0, "{even:?}");
 }
 
 #[test]
 fn no_common_slack_from_too_few_requests() {
-    let mut waits = Waits::default();
+    let mut stats = SlackStats::default();
     for step in 0..4 {
-        waits.note(300.0, at(step));
+        stats.record(300.0, at(step));
     }
-    assert_eq!(waits.common_millis(), None);
+    assert_eq!(stats.common_slack_millis(), None);
     // Samples older than the time constant have little weight.
     for step in 0..100 {
-        waits.note(300.0, at(10 + step));
+        stats.record(300.0, at(10 + step));
     }
     for step in 0..40 {
-        waits.note(100.0, at(12_000 + 100 * step));
+        stats.record(100.0, at(12_000 + 100 * step));
     }
-    assert!(waits.common_millis().is_some_and(|common| common < 150.0));
+    assert!(
+        stats
+            .common_slack_millis()
+            .is_some_and(|common| common < 150.0)
+    );
 }
--- a/crates/gingerpier_serving/tests/places.rs
+++ b/crates/gingerpier_serving/tests/places.rs
@@ -12,13 +12,13 @@
             Configuration, Limits, Repeat, Route, RouteKey, Service, ServiceKey, ServiceKind,
             Target, Tenant,
         },
-        evenness::Even,
+        fairness::Adjustment,
         fleet::{EngineKey, Fleet, Record, State},
         mirror::Revision,
-        precedence,
         region::{Homes, MAX_REGIONS, Regions},
         report::Report,
-        warmth::{Terms, Warmth},
+        shedding,
+        warmup::{ColdLimits, Warmup},
         zones::Exchange,
     },
     proptest::prelude::*,
@@ -61,7 +61,11 @@
     }
 }
 
-fn criteria(allowed_regions: Homes, cold_limits: Terms, gateway_count: u32) -> Criteria<'static> {
+fn criteria(
+    allowed_regions: Homes,
+    cold_limits: ColdLimits,
+    gateway_count: u32,
+) -> Criteria<'static> {
     Criteria {
         service: "s",
         engine_model: None,
@@ -70,8 +74,8 @@
         resume_version: None,
         prompt_tokens: 0,
         target_millis: 500,
-        target_share: precedence::TARGET_SHARE,
-        fairness: Even::default(),
+        target_share: shedding::TARGET_SHARE,
+        fairness: Adjustment::default(),
         allowed_regions,
         cold_limits,
         zone: "a",
@@ -175,58 +179,58 @@
 
 #[test]
 fn cold_engine_is_limited_until_it_reports_warm_or_times_out() {
-    let terms = Terms {
+    let limits = ColdLimits {
         per_second: 26.0,
         overshoot: 1.5,
         allowance: 5.0,
     };
-    let mut warmth = Warmth::listed(2_000, at(0));
+    let mut warmup = Warmup::from_entry(2_000, at(0));
     assert!(
-        !warmth.admits(&terms, 9, at(10)),
+        !warmup.allows_request(&limits, 9, at(10)),
         "this gateway is not an owner"
     );
     assert!(
-        warmth.admits(&Terms::NEVER, 9, at(10)),
+        warmup.allows_request(&ColdLimits::NEVER_COLD, 9, at(10)),
         "engines of the service are never cold"
     );
-    warmth.note_owned(true);
-    assert!(warmth.admits(&terms, 9, at(10)));
-    warmth.note_sent(at(10));
-    assert!(!warmth.admits(&terms, 9, at(20)));
+    warmup.set_owned(true);
+    assert!(warmup.allows_request(&limits, 9, at(10)));
+    warmup.record_sent(at(10));
+    assert!(!warmup.allows_request(&limits, 9, at(20)));
     assert!(
-        warmth.admits(&terms, 9, at(10 + 350)),
+        warmup.allows_request(&limits, 9, at(10 + 350)),
         "its interval is 9 / 26 s"
     );
-    warmth.note_owned(false);
-    assert!(warmth.admits(&terms, 9, at(2_000)));
+    warmup.set_owned(false);
+    assert!(warmup.allows_request(&limits, 9, at(2_000)));
     // Doubtful after a connection failure, until an entry that was written later.
-    warmth.note_doubt(at(3_000));
-    warmth.note_sent(at(3_000));
-    assert!(!warmth.admits(&terms, 100, at(3_500)));
-    warmth.note_told(0, at(3_500));
+    warmup.record_possible_cooling(at(3_000));
+    warmup.record_sent(at(3_000));
+    assert!(!warmup.allows_request(&limits, 100, at(3_500)));
+    warmup.update_from_entry(0, at(3_500));
     assert!(
-        !warmth.admits(&terms, 100, at(3_600)),
+        !warmup.allows_request(&limits, 100, at(3_600)),
         "the entry may be from before the failure"
     );
-    warmth.note_told(0, at(4_500));
-    assert!(warmth.admits(&terms, 100, at(4_500)));
+    warmup.update_from_entry(0, at(4_500));
+    assert!(warmup.allows_request(&limits, 100, at(4_500)));
     // No entries arrive while the store is unavailable.
-    warmth.note_doubt(at(5_000));
-    warmth.note_sent(at(10_900));
-    assert!(!warmth.admits(&terms, 100, at(10_950)));
-    assert!(warmth.admits(&terms, 100, at(11_000)));
+    warmup.record_possible_cooling(at(5_000));
+    warmup.record_sent(at(10_900));
+    assert!(!warmup.allows_request(&limits, 100, at(10_950)));
+    assert!(warmup.allows_request(&limits, 100, at(11_000)));
 }
 
 proptest! {
     /// Guards against limits that the owners exceed together.
     #[test]
     fn owners_stay_below_any_limit(gateways in 1..2_000_u32, per_second in 0.5..200.0_f64, overshoot in 1.0..3.0_f64, allowance in 0.0..20.0_f64) {
-        let terms = Terms { per_second, overshoot, allowance };
-        let owners = terms.owner_count(gateways) as f64;
-        let each = (1_000.0 / terms.owner_interval_millis(gateways)).floor() + 1.0;
+        let limits = ColdLimits { per_second, overshoot, allowance };
+        let owners = limits.owner_count(gateways) as f64;
+        let each = (1_000.0 / limits.owner_interval_millis(gateways)).floor() + 1.0;
         // One request per second is the lowest possible number.
-        prop_assert!(owners * each <= terms.max_in_a_second().max(1.0), "{owners} owners, {each} each: {terms:?}");
-        prop_assert!(owners / (terms.owner_interval_millis(gateways) / 1_000.0) >= per_second.min(terms.max_in_a_second()) * 0.3);
+        prop_assert!(owners * each <= limits.max_per_second().max(1.0), "{owners} owners, {each} each: {limits:?}");
+        prop_assert!(owners / (limits.owner_interval_millis(gateways) / 1_000.0) >= per_second.min(limits.max_per_second()) * 0.3);
     }
 }
 
@@ -287,7 +291,7 @@
 
 struct Simulation {
     rng: fastrand::Rng,
-    terms: Terms,
+    limits: ColdLimits,
     policy: Policy,
     gateways: Vec<Gateway>,
     /// Time until which each engine is cold and since when, and time at which each zone was
@@ -322,7 +326,7 @@
             }
         };
         let gateways = (0..count).map(gateway).collect();
-        let terms = Terms {
+        let limits = ColdLimits {
             per_second: rng.f64() * 30.0 + 2.0,
             overshoot: 1.0 + rng.f64(),
             allowance: rng.f64() * 8.0,
@@ -330,7 +334,7 @@
         Self {
             requests_per_step: rng.f64() * 3.0,
             rng,
-            terms,
+            limits,
             policy,
             gateways,
             cold_until: Default::default(),
@@ -433,7 +437,7 @@
 
     fn deliver(&mut self, now: u64) {
         let instant = at(now);
-        let terms = self.terms;
+        let limits = self.limits;
         let (policy, count) = (self.policy, self.gateways.len() as u32);
         let mut alive_members = Vec::new();
         if now.is_multiple_of(1_000) {
@@ -475,8 +479,8 @@
                         gateway
                             .fleet
                             .engine_mut(key)
-                            .warmth
-                            .note_told(cold_millis, instant);
+                            .warmup
+                            .update_from_entry(cold_millis, instant);
                     }
                     Change::Evacuated { zone, is_evacuated } => {
                         gateway
@@ -494,8 +498,8 @@
                 let is_owned = policy == Policy::AllOwners
                     || gateway
                         .exchange
-                        .is_among(subject, terms.owner_count(count), instant);
-                gateway.fleet.engine_mut(key).warmth.note_owned(is_owned);
+                        .is_among(subject, limits.owner_count(count), instant);
+                gateway.fleet.engine_mut(key).warmup.set_owned(is_owned);
             }
         }
     }
@@ -509,8 +513,8 @@
             None => Homes::ANYWHERE,
         };
         let cold = match self.policy {
-            Policy::Unlimited => Terms::NEVER,
-            Policy::Owners | Policy::AllOwners => self.terms,
+            Policy::Unlimited => ColdLimits::NEVER_COLD,
+            Policy::Owners | Policy::AllOwners => self.limits,
         };
         let criteria = criteria(homes, cold, self.gateways.len() as u32);
         let random = self.rng.u64(..);
@@ -583,7 +587,7 @@
 fn cold_engines_stay_within_their_limit() {
     for seed in 0..SEEDS {
         let simulation = Simulation::new(seed, Policy::Owners);
-        let limit = simulation.terms.max_in_a_second().max(1.0);
+        let limit = simulation.limits.max_per_second().max(1.0);
         let outcome = simulation.run();
         assert!(
             outcome.max_per_second as f64 <= limit,
@@ -597,7 +601,7 @@
     for policy in [Policy::AllOwners, Policy::Unlimited] {
         let is_exceeded = |seed: &u64| {
             let simulation = Simulation::new(*seed, policy);
-            let limit = simulation.terms.max_in_a_second().max(1.0);
+            let limit = simulation.limits.max_per_second().max(1.0);
             simulation.run().max_per_second as f64 > limit
         };
         let exceeded = (0..SEEDS / 4).filter(is_exceeded).count();
@@ -616,7 +620,7 @@
         let mut simulation = Simulation::new(seed, Policy::Owners);
         // Enough requests to use every engine.
         simulation.requests_per_step = 3.0;
-        let per_second = simulation.terms.per_second;
+        let per_second = simulation.limits.per_second;
         let outcome = simulation.run();
         sustained += per_second * outcome.cold_millis as f64 / 1_000.0;
         sent += outcome.cold_requests;
--- a/crates/gingerpier_serving/tests/returns.rs
+++ b/crates/gingerpier_serving/tests/return_detection.rs
@@ -2,7 +2,7 @@
 
 use {
     gingerpier_base::Instant,
-    gingerpier_serving::returns::{Returns, Visit},
+    gingerpier_serving::return_detection::{Detector, Visit},
     proptest::prelude::*,
 };
 
@@ -18,10 +18,10 @@
 }
 
 /// Creates a detector that has seen one request every 20 ms for `millis`, without refusals.
-fn trained_detector(millis: u64, patience: impl Fn(u64) -> u64) -> Returns {
-    let mut detector = Returns::new(at(0));
+fn trained_detector(millis: u64, patience: impl Fn(u64) -> u64) -> Detector {
+    let mut detector = Detector::new(at(0));
     for step in 0..millis / 20 {
-        detector.take(ROUTE, Some(patience(step)), at(20 * step));
+        detector.classify(ROUTE, Some(patience(step)), at(20 * step));
     }
     detector
 }
@@ -31,7 +31,7 @@
     let mut detector = trained_detector(10_000, |step| 5_000 + random(step));
     let misclassified = (0..1_000).filter(|step| {
         let patience = 5_000 + random(step + 50_000);
-        detector.take(ROUTE, Some(patience), at(10_000 + step)) == Visit::Returned
+        detector.classify(ROUTE, Some(patience), at(10_000 + step)) == Visit::Returned
     });
     let misclassified = misclassified.count();
     assert!(
@@ -43,15 +43,15 @@
 #[test]
 fn returning_callers_are_recognized_after_the_reported_delay() {
     let mut detector = trained_detector(10_000, |step| 5_000 + random(step));
-    let recognizable_after = detector.told_apart_millis(ROUTE).expect("a range");
+    let recognizable_after = detector.recognizable_after_millis(ROUTE).expect("a range");
     assert!(
         (1_000..1_300).contains(&recognizable_after),
         "{recognizable_after}"
     );
     let recognized = (0..1_000).filter(|step| {
         let patience = 5_000 + random(step + 50_000) - recognizable_after;
-        detector.note_refused(at(10_000 + step));
-        detector.take(ROUTE, Some(patience), at(10_000 + step)) == Visit::Returned
+        detector.record_refusal(at(10_000 + step));
+        detector.classify(ROUTE, Some(patience), at(10_000 + step)) == Visit::Returned
     });
     let recognized = recognized.count();
     assert!(recognized >= 970, "{recognized} of 1,000 returning callers");
@@ -60,9 +60,12 @@
 #[test]
 fn equal_patience_is_distinguished_immediately() {
     let mut detector = trained_detector(10_000, |_| 6_000);
-    assert_eq!(detector.take(ROUTE, Some(6_000), at(10_000)), Visit::First);
     assert_eq!(
-        detector.take(ROUTE, Some(5_400), at(10_000)),
+        detector.classify(ROUTE, Some(6_000), at(10_000)),
+        Visit::First
+    );
+    assert_eq!(
+        detector.classify(ROUTE, Some(5_400), at(10_000)),
         Visit::Returned
     );
 }
@@ -75,38 +78,41 @@
     };
     let mut detector = trained_detector(20_000, patience);
     assert_eq!(
-        detector.take(ROUTE, Some(4_000), at(20_000)),
+        detector.classify(ROUTE, Some(4_000), at(20_000)),
         Visit::Returned
     );
-    assert_eq!(detector.take(ROUTE, Some(5_500), at(20_000)), Visit::First);
+    assert_eq!(
+        detector.classify(ROUTE, Some(5_500), at(20_000)),
+        Visit::First
+    );
 }
 
 #[test]
 fn no_range_is_learned_at_a_high_refusal_rate() {
-    let mut detector = Returns::new(at(0));
+    let mut detector = Detector::new(at(0));
     for step in 0..1_000 {
         let patience = 3_000 + random(step);
-        let visit = detector.take(ROUTE, Some(patience), at(20 * step));
+        let visit = detector.classify(ROUTE, Some(patience), at(20 * step));
         assert_eq!(visit, Visit::Unknown);
         if step % 4 == 0 {
-            detector.note_refused(at(20 * step));
+            detector.record_refusal(at(20 * step));
         }
     }
 }
 
 /// Creates a detector under overload from its start: a third of the requests is refused and
 /// returns after 0.6 to 1.6 s.
-fn detector_trained_under_overload(patience: impl Fn(u64) -> u64) -> Returns {
-    let mut detector = Returns::new(at(0));
+fn detector_trained_under_overload(patience: impl Fn(u64) -> u64) -> Detector {
+    let mut detector = Detector::new(at(0));
     for step in 0..600 {
         let retry_delay = 600 + random(step + 90_000);
         let patience = match step % 3 {
             0 => patience(step) - retry_delay,
             _ => patience(step),
         };
-        detector.take(ROUTE, Some(patience), at(20 * step));
+        detector.classify(ROUTE, Some(patience), at(20 * step));
         if step % 3 == 1 {
-            detector.note_refused(at(20 * step));
+            detector.record_refusal(at(20 * step));
         }
     }
     detector
@@ -117,16 +123,22 @@
 #[test]
 fn equal_patience_is_learned_under_lasting_overload() {
     let mut detector = detector_trained_under_overload(|_| 6_000);
-    assert_eq!(detector.take(ROUTE, Some(6_000), at(12_000)), Visit::First);
-    assert_eq!(detector.take(ROUTE, Some(5_990), at(12_000)), Visit::First);
+    assert_eq!(
+        detector.classify(ROUTE, Some(6_000), at(12_000)),
+        Visit::First
+    );
+    assert_eq!(
+        detector.classify(ROUTE, Some(5_990), at(12_000)),
+        Visit::First
+    );
     let correct = (0..600).filter(|step| {
         let now = at(12_000 + 20 * step);
         let (patience, visit) = match step % 3 {
             0 => (6_000 - 600 - random(*step), Visit::Returned),
             _ => (6_000, Visit::First),
         };
-        detector.note_refused(now);
-        detector.take(ROUTE, Some(patience), now) == visit
+        detector.record_refusal(now);
+        detector.classify(ROUTE, Some(patience), now) == visit
     });
     let correct = correct.count();
     assert!(correct >= 590, "{correct} of 600");
@@ -138,7 +150,7 @@
     let mut detector = detector_trained_under_overload(patience);
     for patience in [6_000, 3_000, 2_000] {
         assert_eq!(
-            detector.take(ROUTE, Some(patience), at(12_000)),
+            detector.classify(ROUTE, Some(patience), at(12_000)),
             Visit::Unknown
         );
     }
@@ -149,7 +161,7 @@
     let mut detector = detector_trained_under_overload(|step| 5_000 + random(step));
     for patience in [5_900, 5_100, 4_000] {
         assert_eq!(
-            detector.take(ROUTE, Some(patience), at(12_000)),
+            detector.classify(ROUTE, Some(patience), at(12_000)),
             Visit::Unknown
         );
     }
@@ -159,10 +171,10 @@
 fn samples_under_overload_do_not_replace_the_learned_range() {
     let mut detector = trained_detector(10_000, |step| 5_000 + random(step));
     for step in 0..400 {
-        detector.note_refused(at(10_000 + 20 * step));
-        detector.take(ROUTE, Some(6_000), at(10_000 + 20 * step));
+        detector.record_refusal(at(10_000 + 20 * step));
+        detector.classify(ROUTE, Some(6_000), at(10_000 + 20 * step));
     }
-    let visit = detector.take(ROUTE, Some(5_100), at(18_000));
+    let visit = detector.classify(ROUTE, Some(5_100), at(18_000));
     assert_eq!(visit, Visit::First);
 }
 
@@ -175,7 +187,7 @@
     };
     let mut detector = trained_detector(20_000, patience);
     let returned_count = (0..500).filter(|step| {
-        detector.take(ROUTE, Some(patience(*step)), at(20_000 + step)) == Visit::Returned
+        detector.classify(ROUTE, Some(patience(*step)), at(20_000 + step)) == Visit::Returned
     });
     assert_eq!(returned_count.count(), 0);
 }
@@ -186,33 +198,42 @@
     let mut returned_count = 0;
     for step in 0..400 {
         let patience = 2_000 + random(step) / 2;
-        let visit = detector.take(ROUTE, Some(patience), at(10_000 + 20 * step));
+        let visit = detector.classify(ROUTE, Some(patience), at(10_000 + 20 * step));
         returned_count += u32::from(visit == Visit::Returned);
     }
     assert!(returned_count <= 128, "{returned_count} of 400");
-    assert_eq!(detector.take(ROUTE, Some(2_250), at(18_000)), Visit::First);
+    assert_eq!(
+        detector.classify(ROUTE, Some(2_250), at(18_000)),
+        Visit::First
+    );
 }
 
 #[test]
 fn missing_patience_affects_only_its_own_request() {
     let mut detector = trained_detector(10_000, |_| 6_000);
     for patience in [None, Some(0)] {
-        assert_eq!(detector.take(ROUTE, patience, at(10_000)), Visit::Unknown);
+        assert_eq!(
+            detector.classify(ROUTE, patience, at(10_000)),
+            Visit::Unknown
+        );
     }
     assert_eq!(
-        detector.take(ROUTE, Some(u64::MAX / 2), at(10_000)),
+        detector.classify(ROUTE, Some(u64::MAX / 2), at(10_000)),
+        Visit::First
+    );
+    assert_eq!(
+        detector.classify(ROUTE, Some(6_000), at(10_000)),
         Visit::First
     );
-    assert_eq!(detector.take(ROUTE, Some(6_000), at(10_000)), Visit::First);
 }
 
 proptest! {
     #[test]
     fn any_patience_is_accepted_without_panic(patiences in proptest::collection::vec(any::<u32>(), 0..400)) {
-        let mut detector = Returns::new(at(0));
+        let mut detector = Detector::new(at(0));
         for (step, patience) in patiences.iter().enumerate() {
-            detector.take(ROUTE, Some(u64::from(*patience)), at(5_000 + 10 * step as u64));
+            detector.classify(ROUTE, Some(u64::from(*patience)), at(5_000 + 10 * step as u64));
         }
-        detector.told_apart_millis(ROUTE);
+        detector.recognizable_after_millis(ROUTE);
     }
 }
