--- a/crates/gingerpier_benches/benches/control.rs
+++ b/crates/gingerpier_benches/benches/control.rs
@@ -14,7 +14,7 @@
     gingerpier_catalogue::{Catalogue, Command, Entry, Identity, Record},
     gingerpier_fleet::{Child, Error, Fleet, Spec, spec::Zone},
     gingerpier_membership::{Listing, Membership},
-    gingerpier_once::{Door, claims::Claims, door::AttemptKey},
+    gingerpier_once::{Deduplicator, claims::Claims, dedup::AttemptKey},
     gingerpier_rollout::{Planner, View, planner::Terms},
     gingerpier_standins::key_value::Counts,
     gingerpier_wire::{
@@ -383,7 +383,7 @@
 
 fn attempts(report: &mut Report) {
     let now = Moment::from_millis(1_000);
-    let mut door = Door::new(Incarnation(1), 600_000);
+    let mut deduplicator = Deduplicator::new(Incarnation(1), 600_000);
     let mut number = 0;
     let admit = micros(100_000, || {
         number += 1;
@@ -391,8 +391,8 @@
             entry: Incarnation(2),
             number,
         };
-        black_box(door.admit(key, Incarnation(1), Ok(()), now));
-        door.end(key, now);
+        black_box(deduplicator.admit(key, Incarnation(1), Ok(()), now));
+        deduplicator.record_end(key, now);
     });
     let mut claims = Claims::new(Incarnation(1), 7, 600_000);
     let claim = micros(100_000, || {
--- a/crates/gingerpier_daemon/src/backend/attempts.rs
+++ b/crates/gingerpier_daemon/src/backend/attempts.rs
@@ -7,7 +7,7 @@
     futures_util::future::Either,
     gingerpier_base::{Digest, place::Incarnation},
     gingerpier_link::{Link, Stream},
-    gingerpier_once::door::{Admission, AttemptKey, Door, Refusal, Revocation},
+    gingerpier_once::dedup::{Admission, AttemptKey, Deduplicator, Refusal, Revocation},
     gingerpier_services::engine::{
         ADAPTER_HEADER, ATTEMPT_HEADER, PRIORITY_HEADER, RESUME_HEADER, Run, WEIGHTS_HEADER,
     },
@@ -28,33 +28,36 @@
 
 /// Attempts seen by this process.
 pub struct Attempts {
-    door: RefCell<Door>,
+    deduplicator: RefCell<Deduplicator>,
     cancels: RefCell<BTreeMap<AttemptKey, oneshot::Sender<()>>>,
 }
 
 impl Attempts {
     /// None seen yet by the process run `incarnation`.
     pub fn new(incarnation: Incarnation) -> Self {
-        let door = RefCell::new(Door::new(incarnation, RETENTION_MILLIS));
+        let deduplicator = RefCell::new(Deduplicator::new(incarnation, RETENTION_MILLIS));
         Self {
-            door,
+            deduplicator,
             cancels: RefCell::default(),
         }
     }
 
     /// Attempts running.
     pub fn running(&self) -> usize {
-        self.door.borrow().running()
+        self.deduplicator.borrow().running_count()
     }
 
     /// Forgets attempts that ended long ago.
     pub fn sweep(&self) {
-        self.door.borrow_mut().sweep(clock::now());
+        self.deduplicator.borrow_mut().remove_expired(clock::now());
     }
 
     /// Shuts the door to an attempt, and ends it where it runs.
     pub fn revoke(&self, key: AttemptKey, addressed: Incarnation) -> Revocation {
-        let revocation = self.door.borrow_mut().revoke(key, addressed, clock::now());
+        let revocation = self
+            .deduplicator
+            .borrow_mut()
+            .revoke(key, addressed, clock::now());
         if let Some(cancel) = self.cancels.borrow_mut().remove(&key) {
             // An attempt that ends at this moment does not listen any more.
             let _ = cancel.send(());
@@ -64,7 +67,7 @@
 
     fn admit(&self, attempt: &Attempt, ready: Result<(), Refusal>) -> Admission {
         let Attempt { key, addressed, .. } = attempt;
-        self.door
+        self.deduplicator
             .borrow_mut()
             .admit(*key, *addressed, ready, clock::now())
     }
@@ -77,12 +80,14 @@
 
     fn end(&self, key: AttemptKey) {
         self.cancels.borrow_mut().remove(&key);
-        self.door.borrow_mut().end(key, clock::now());
+        self.deduplicator.borrow_mut().record_end(key, clock::now());
     }
 
     fn turn_back(&self, key: AttemptKey) {
         self.cancels.borrow_mut().remove(&key);
-        self.door.borrow_mut().turn_back(key, clock::now());
+        self.deduplicator
+            .borrow_mut()
+            .record_not_run(key, clock::now());
     }
 }
 
--- a/crates/gingerpier_daemon/src/backend/engines.rs
+++ b/crates/gingerpier_daemon/src/backend/engines.rs
@@ -13,7 +13,7 @@
     awc::Client as Http,
     gingerpier_base::{Digest, Instant, Name, place::Incarnation},
     gingerpier_catalogue::VersionKey,
-    gingerpier_once::door::Refusal,
+    gingerpier_once::dedup::Refusal,
     gingerpier_services::{
         Error,
         engine::{Client, Order, Status as Reported, What},
--- a/crates/gingerpier_daemon/src/entry/callers.rs
+++ b/crates/gingerpier_daemon/src/entry/callers.rs
@@ -16,7 +16,7 @@
     gingerpier_once::{
         Ticket,
         claims::Verdict,
-        course::{Reason, Repetition},
+        lifecycle::{Idempotency, Reason},
     },
     gingerpier_routing::limits::AccountKey,
     serde::{Deserialize, Serialize},
@@ -222,11 +222,18 @@
         }
         let prefix = prompt_prefix(&asked);
         // A model writes nothing but its answer: to run it twice does no harm by itself.
-        let repetition = repetition(&request, Repetition::Harmless)?;
+        let idempotency = idempotency(&request, Idempotency::Idempotent)?;
         let target = Target::Model(model);
         let path = request.uri().to_string();
         let job = self.job(
-            &request, account, id, target, path, read, repetition, prefix,
+            &request,
+            account,
+            id,
+            target,
+            path,
+            read,
+            idempotency,
+            prefix,
         )?;
         self.run_job(&request, job).await
     }
@@ -247,14 +254,14 @@
             Method::GET | Method::HEAD | Method::OPTIONS
         );
         let default = if safe {
-            Repetition::Harmless
+            Idempotency::Idempotent
         } else {
-            Repetition::Forbidden
+            Idempotency::NonIdempotent
         };
-        let repetition = repetition(&request, default)?;
+        let idempotency = idempotency(&request, default)?;
         let target = Target::Service(name);
         let path = format!("/{path}");
-        let job = self.job(&request, account, id, target, path, read, repetition, None)?;
+        let job = self.job(&request, account, id, target, path, read, idempotency, None)?;
         self.run_job(&request, job).await
     }
 
@@ -267,7 +274,7 @@
         target: Target,
         path: String,
         body: Bytes,
-        repetition: Repetition,
+        idempotency: Idempotency,
         prefix: Option<u64>,
     ) -> Result<Job, Refusal> {
         Ok(Job {
@@ -281,7 +288,7 @@
             content_type: header_text(request, header::CONTENT_TYPE.as_str()),
             body,
             prefix,
-            repetition,
+            idempotency,
             grant: None,
             deadline: self.deadline(request)?,
         })
@@ -344,7 +351,7 @@
         let Some(key) = header_text(request, KEY_HEADER) else {
             return Ok(None);
         };
-        if job.repetition == Repetition::Harmless {
+        if job.idempotency == Idempotency::Idempotent {
             return Ok(None);
         }
         let ticket: Ticket = key.parse().map_err(|error| Refusal::not_run(400, error))?;
@@ -386,11 +393,11 @@
     Refusal::not_run(error.status(), error)
 }
 
-fn repetition(request: &Request, default: Repetition) -> Result<Repetition, Refusal> {
+fn idempotency(request: &Request, default: Idempotency) -> Result<Idempotency, Refusal> {
     match header_text(request, REPEATABLE_HEADER).as_deref() {
         None => Ok(default),
-        Some("yes") => Ok(Repetition::Harmless),
-        Some("no") => Ok(Repetition::Forbidden),
+        Some("yes") => Ok(Idempotency::Idempotent),
+        Some("no") => Ok(Idempotency::NonIdempotent),
         Some(_) => Err(Refusal::not_run(
             400,
             format!("{REPEATABLE_HEADER} is `yes` or `no`"),
--- a/crates/gingerpier_daemon/src/entry/job.rs
+++ b/crates/gingerpier_daemon/src/entry/job.rs
@@ -5,7 +5,7 @@
     bytes::Bytes,
     gingerpier_base::{Digest, Instant, Name},
     gingerpier_catalogue::{Catalogue, ModelKey, VersionKey, model::Contract},
-    gingerpier_once::course::{Reason, Repetition},
+    gingerpier_once::lifecycle::{Idempotency, Reason},
     gingerpier_routing::{
         limits::AccountKey,
         router::{EngineKey, PoolKey},
@@ -57,7 +57,7 @@
     /// Hash of the prompt's start.
     pub prefix: Option<u64>,
     /// Whether it may run more than once.
-    pub repetition: Repetition,
+    pub idempotency: Idempotency,
     /// Right under which it runs.
     pub grant: Option<Grant>,
     /// When it is given up.
--- a/crates/gingerpier_daemon/src/entry/links.rs
+++ b/crates/gingerpier_daemon/src/entry/links.rs
@@ -247,7 +247,7 @@
         self.members.borrow_mut().link_down(key, clock::now());
         self.refresh_standing(key);
         if member.role == Role::Entry {
-            self.claims.borrow_mut().holder_lost(incarnation);
+            self.claims.borrow_mut().record_holder_lost(incarnation);
         }
         self.boxes_changed();
         tracing::warn!(event = "link_down", name = %member.name, incarnation = %incarnation);
--- a/crates/gingerpier_daemon/src/entry/mod.rs
+++ b/crates/gingerpier_daemon/src/entry/mod.rs
@@ -202,7 +202,7 @@
         actix_rt::spawn(async move {
             loop {
                 clock::pause(SWEEP_MILLIS).await;
-                self.claims.borrow_mut().sweep(clock::now());
+                self.claims.borrow_mut().remove_expired(clock::now());
                 self.process
                     .metrics
                     .revision
--- a/crates/gingerpier_daemon/src/entry/requests.rs
+++ b/crates/gingerpier_daemon/src/entry/requests.rs
@@ -12,8 +12,8 @@
     gingerpier_membership::{BoxKey, Member},
     gingerpier_once::{
         claims::Settlement,
-        course::{Action, Course, Event, Reason},
-        door::{self, AttemptKey, Revocation},
+        dedup::{self, AttemptKey, Revocation},
+        lifecycle::{Action, Event, Lifecycle, Reason},
     },
     gingerpier_routing::router::{Ask, EngineKey, Refusal},
     gingerpier_wire::{
@@ -63,7 +63,7 @@
     entry: Rc<Entry>,
     job: Job,
     outlet: Outlet,
-    course: Course,
+    lifecycle: Lifecycle,
     tried: Vec<EngineKey>,
     /// Engines that could not run it at once, while one is looked for that can.
     bounced: Vec<EngineKey>,
@@ -81,12 +81,12 @@
         self.budget.borrow_mut().earn();
         let resumable = matches!(job.target, Target::Model(_));
         let tries = self.settings.requests.tries;
-        let course = Course::new(job.repetition, job.deadline, tries, resumable);
+        let lifecycle = Lifecycle::new(job.idempotency, job.deadline, tries, resumable);
         let drive = Drive {
             entry: self.clone(),
             job,
             outlet,
-            course,
+            lifecycle,
             tried: Vec::new(),
             bounced: Vec::new(),
             seeking: true,
@@ -101,7 +101,7 @@
 
 impl Drive {
     async fn run(mut self) {
-        let mut actions = [Some(Action::Choose), None];
+        let mut actions = [Some(Action::SelectEngine), None];
         loop {
             let mut event = None;
             for action in actions.into_iter().flatten() {
@@ -123,34 +123,34 @@
             entry,
             number: self.entry.process.next_attempt(),
         };
-        self.course.step(event, key, clock::now())
+        self.lifecycle.step(event, key, clock::now())
     }
 
     /// Does what the course says; an event follows unless the word was final.
     async fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::Choose | Action::Resume => Some(self.choose()),
+            Action::SelectEngine | Action::Resume => Some(self.choose()),
             Action::Send(key) => Some(self.attempt(key).await),
             Action::Revoke(key) => self.revoke(key).await,
-            Action::SayNotRun(reason) => {
+            Action::ReportNotRun(reason) => {
                 self.settle(Settlement::NotRun).await;
                 self.end("not_run", Some(reason));
                 self.outlet.say(Word::NotRun(reason));
                 None
             }
-            Action::SayUnknown(reason) => {
+            Action::ReportUnknown(reason) => {
                 self.settle(Settlement::Unknown).await;
                 self.end("unknown", Some(reason));
                 self.outlet.say(Word::Unknown(reason));
                 None
             }
-            Action::BreakOff(reason) => {
+            Action::AbortResponse(reason) => {
                 self.settle(Settlement::Unknown).await;
                 self.end("broken_off", Some(reason));
                 self.outlet.pass(Part::Broken).await;
                 None
             }
-            Action::Done => {
+            Action::Complete => {
                 self.settle(Settlement::Answered).await;
                 self.end("answered", None);
                 self.outlet.pass(Part::End).await;
@@ -185,7 +185,7 @@
     fn choose(&mut self) -> Event {
         let now = clock::now();
         // Only a request that may have run costs of the budget: a refusal at the door is cheap.
-        if self.course.may_have_run() {
+        if self.lifecycle.may_have_run() {
             if !self.entry.budget.borrow_mut().spend() {
                 return Event::NoneFree(now.after_millis(NO_ENGINE_MILLIS));
             }
@@ -241,7 +241,7 @@
             incarnation,
             admitted,
         });
-        Event::Chosen
+        Event::EngineSelected
     }
 
     /// Sends one attempt and passes its answer on, until something ends it.
@@ -264,10 +264,10 @@
             .borrow_mut()
             .router()
             .finished(choice.engine);
-        if event == Event::Refused(door::Refusal::Full) && self.seeking {
+        if event == Event::Refused(dedup::Refusal::Full) && self.seeking {
             self.bounced.push(choice.engine);
             self.seeking = self.bounced.len() < MOST_BOUNCES;
-            return Event::Bounced;
+            return Event::QueueingRefused;
         }
         self.tried.push(choice.engine);
         event
@@ -322,7 +322,11 @@
                 // What follows the last event's end belongs to the answer too.
                 let rest = self.passed.pending.split().freeze();
                 let gone = !rest.is_empty() && !self.outlet.pass(Part::Bytes(rest)).await;
-                Some(if gone { Event::CallerGone } else { Event::End })
+                Some(if gone {
+                    Event::CallerGone
+                } else {
+                    Event::ResponseFinished
+                })
             }
             Told::Event(event) => Some(event),
             Told::Load(others) => {
@@ -340,7 +344,7 @@
         }
         if self.passed.head {
             // The rest of an answer: only an answer that goes on may follow.
-            self.step(Event::Head);
+            self.step(Event::ResponseStarted);
             return (head.status != 200).then_some(Event::Broken);
         }
         self.passed.head = true;
@@ -349,7 +353,7 @@
             .as_deref()
             .is_some_and(|kind| kind.starts_with(EVENT_STREAM));
         if !self.passed.event_stream {
-            self.course.forbid_resuming();
+            self.lifecycle.disable_resume();
         }
         let catalogue = self.entry.process.ledger.catalogue();
         let version = choice
@@ -372,7 +376,7 @@
             content_type,
             version,
         });
-        self.step(Event::Head);
+        self.step(Event::ResponseStarted);
         None
     }
 
@@ -402,7 +406,7 @@
         self.passed.pending.clear();
         let choice = self.choice.clone()?;
         let asking = revoke_at_door(self.entry.clone(), key, choice.clone());
-        if self.course.attempt().is_none() {
+        if self.lifecycle.attempt().is_none() {
             actix_rt::spawn(asking);
             return None;
         }
--- a/crates/gingerpier_once/src/claims.rs
+++ b/crates/gingerpier_once/src/claims.rs
@@ -145,7 +145,7 @@
     }
 
     /// Marks all requests granted to the lost entry box process `holder` as possibly run.
-    pub fn holder_lost(&mut self, holder: Incarnation) {
+    pub fn record_holder_lost(&mut self, holder: Incarnation) {
         for record in self.records.values_mut() {
             if record.state == (State::Running { holder }) {
                 record.state = State::Unknown;
@@ -154,7 +154,7 @@
     }
 
     /// Removes expired tickets.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         let retention_millis = self.retention_millis;
         while let Some(oldest) = self.records.first_entry() {
             if !oldest
--- a/crates/gingerpier_once/src/door.rs
+++ b/crates/gingerpier_once/src/dedup.rs
@@ -111,14 +111,14 @@
 
 /// Attempts received by one run of a backend server's process.
 #[derive(Debug)]
-pub struct Door {
+pub struct Deduplicator {
     incarnation: Incarnation,
     /// Time for which finished and refused attempts are recorded.
     retention_millis: u64,
     senders: BTreeMap<Incarnation, Sender>,
 }
 
-impl Door {
+impl Deduplicator {
     /// Creates an empty registry for the process run `incarnation`.
     pub const fn new(incarnation: Incarnation, retention_millis: u64) -> Self {
         Self {
@@ -190,7 +190,7 @@
     }
 
     /// Records that a started attempt ended, successfully or not.
-    pub fn end(&mut self, key: AttemptKey, now: Instant) {
+    pub fn record_end(&mut self, key: AttemptKey, now: Instant) {
         let expires_at = now.after_millis(self.retention_millis);
         if let Some(sender) = self.senders.get_mut(&key.entry) {
             sender
@@ -200,7 +200,7 @@
     }
 
     /// Records that a started attempt did not reach the engine and never will.
-    pub fn turn_back(&mut self, key: AttemptKey, now: Instant) {
+    pub fn record_not_run(&mut self, key: AttemptKey, now: Instant) {
         let expires_at = now.after_millis(self.retention_millis);
         if let Some(sender) = self.senders.get_mut(&key.entry) {
             sender
@@ -210,19 +210,19 @@
     }
 
     /// Number of running attempts.
-    pub fn running(&self) -> usize {
-        self.senders.values().map(Sender::running).sum()
+    pub fn running_count(&self) -> usize {
+        self.senders.values().map(Sender::running_count).sum()
     }
 
     /// Removes expired records and raises the minimum numbers of their senders.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         for sender in self.senders.values_mut() {
-            sender.sweep(now);
+            sender.remove_expired(now);
         }
     }
 
     /// Number of recorded attempts.
-    pub fn remembered(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.senders
             .values()
             .map(|sender| sender.attempts.len())
@@ -231,14 +231,14 @@
 }
 
 impl Sender {
-    fn running(&self) -> usize {
+    fn running_count(&self) -> usize {
         self.attempts
             .values()
             .filter(|state| **state == State::Running)
             .count()
     }
 
-    fn sweep(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         let mut min_number = self.min_number;
         self.attempts.retain(|number, state| match state {
             State::Running => true,
--- a/crates/gingerpier_once/src/lib.rs
+++ b/crates/gingerpier_once/src/lib.rs
@@ -5,9 +5,9 @@
 //! grant the right to run the request. They are kept in memory and end with the process; if the
 //! owner can't be reached, the result is reported as unknown.
 //!
-//! At the backend server, the [`door::Door`] starts each attempt at most once, refuses attempts that
+//! At the backend server, the [`dedup::Deduplicator`] starts each attempt at most once, refuses attempts that
 //! were revoked or addressed to another run of the process, and thereby proves that an attempt did
-//! not run. [`course::Course`] is the state machine of one request at an entry box.
+//! not run. [`lifecycle::Lifecycle`] is the state machine of one request at an entry box.
 //!
 //! ```
 //! use gingerpier_base::{place::Incarnation, time::Instant};
@@ -24,11 +24,11 @@
 //! ```
 
 pub mod claims;
-pub mod course;
-pub mod door;
+pub mod dedup;
+pub mod lifecycle;
 pub mod ticket;
 
 pub use claims::Claims;
-pub use course::Course;
-pub use door::Door;
+pub use dedup::Deduplicator;
+pub use lifecycle::Lifecycle;
 pub use ticket::Ticket;
--- a/crates/gingerpier_once/src/course.rs
+++ b/crates/gingerpier_once/src/lifecycle.rs
@@ -6,35 +6,35 @@
 //! revocation.
 
 use {
-    crate::door::{AttemptKey, Refusal, Revocation},
+    crate::dedup::{AttemptKey, Refusal, Revocation},
     gingerpier_base::Instant,
 };
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repetition {
+pub enum Idempotency {
     /// The request is idempotent.
-    Harmless,
+    Idempotent,
     /// The request must run at most once.
-    Forbidden,
+    NonIdempotent,
 }
 
 /// Input of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// An engine was selected for the next attempt.
-    Chosen,
+    EngineSelected,
     /// No engine can accept the request now; holds the earliest time of a retry.
     NoneFree(Instant),
     /// The backend server refused the attempt.
     Refused(Refusal),
     /// The backend server refused an attempt that was not allowed to queue; not counted as an
     /// attempt.
-    Bounced,
+    QueueingRefused,
     /// The head of the response arrived.
-    Head,
+    ResponseStarted,
     /// The response is complete.
-    End,
+    ResponseFinished,
     /// The engine failed or truncated the response; the backend server is still reachable.
     Broken,
     /// The backend server is unreachable, and may or may not have received the attempt.
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Select an engine, preferably one that was not tried.
-    Choose,
+    SelectEngine,
     /// Send the attempt to the selected engine.
     Send(AttemptKey),
     /// Ask the backend server to reject the attempt, or to cancel it if it runs.
@@ -59,13 +59,13 @@
     /// Request the rest of the response from another engine of the same version.
     Resume,
     /// Final: report that the request did not run.
-    SayNotRun(Reason),
+    ReportNotRun(Reason),
     /// Final: report that the request may have run.
-    SayUnknown(Reason),
+    ReportUnknown(Reason),
     /// Final: terminate the started response so that the caller sees it as incomplete.
-    BreakOff(Reason),
+    AbortResponse(Reason),
     /// Final: the response is complete.
-    Done,
+    Complete,
 }
 
 /// Why a request failed.
@@ -96,8 +96,8 @@
 
 /// State of one request.
 #[derive(Debug)]
-pub struct Course {
-    repetition: Repetition,
+pub struct Lifecycle {
+    idempotency: Idempotency,
     deadline: Instant,
     attempts_left: u32,
     can_resume: bool,
@@ -107,17 +107,17 @@
     has_response_started: bool,
 }
 
-impl Course {
+impl Lifecycle {
     /// Creates the state of a request that fails at `deadline` or after `tries` attempts;
     /// `can_resume` allows to continue a truncated response at another engine.
     pub const fn new(
-        repetition: Repetition,
+        idempotency: Idempotency,
         deadline: Instant,
         max_attempts: u32,
         can_resume: bool,
     ) -> Self {
         Self {
-            repetition,
+            idempotency,
             deadline,
             attempts_left: max_attempts,
             can_resume,
@@ -133,7 +133,7 @@
     }
 
     /// Prevents that a truncated response is continued at another engine.
-    pub const fn forbid_resuming(&mut self) {
+    pub const fn disable_resume(&mut self) {
         self.can_resume = false;
     }
 
@@ -156,27 +156,27 @@
             return self.abort(Reason::CallerGone);
         }
         // A complete response is delivered even if it is processed after the deadline.
-        if event != Event::End && self.deadline.has_passed(now) {
+        if event != Event::ResponseFinished && self.deadline.has_passed(now) {
             return self.abort(Reason::Deadline);
         }
         match (self.phase, event) {
-            (Phase::SelectingEngine, Event::Chosen) => self.send(key),
+            (Phase::SelectingEngine, Event::EngineSelected) => self.send(key),
             (Phase::SelectingEngine, Event::NoneFree(at)) => self.abort(Reason::NoneFree(at)),
             (Phase::Sent(_), Event::Refused(refusal)) if refusal.proves_not_run() => self.retry(),
             (Phase::Sent(_), Event::Refused(_)) => self.handle_loss(Reason::LinkLost),
-            (Phase::Sent(_), Event::Bounced) => {
+            (Phase::Sent(_), Event::QueueingRefused) => {
                 self.attempts_left += 1;
                 self.retry()
             }
-            (Phase::Sent(sent), Event::Head) => {
+            (Phase::Sent(sent), Event::ResponseStarted) => {
                 self.may_have_run = true;
                 self.has_response_started = true;
                 self.phase = Phase::Responding(sent);
                 [None, None]
             }
-            (Phase::Responding(_), Event::End) => {
+            (Phase::Responding(_), Event::ResponseFinished) => {
                 self.phase = Phase::Finished;
-                [Some(Action::Done), None]
+                [Some(Action::Complete), None]
             }
             (Phase::Sent(sent), Event::LinkLost) => {
                 self.phase = Phase::Revoking(sent);
@@ -211,7 +211,7 @@
             Some(if self.has_response_started {
                 Action::Resume
             } else {
-                Action::Choose
+                Action::SelectEngine
             }),
             None,
         ]
@@ -221,14 +221,14 @@
     /// otherwise fails.
     fn handle_loss(&mut self, reason: Reason) -> [Option<Action>; 2] {
         self.may_have_run = true;
-        let can_retry = self.repetition == Repetition::Harmless && self.attempts_left > 0;
+        let can_retry = self.idempotency == Idempotency::Idempotent && self.attempts_left > 0;
         if can_retry && (!self.has_response_started || self.can_resume) {
             self.phase = Phase::SelectingEngine;
             return [
                 Some(if self.has_response_started {
                     Action::Resume
                 } else {
-                    Action::Choose
+                    Action::SelectEngine
                 }),
                 None,
             ];
@@ -249,9 +249,9 @@
     fn fail(&mut self, reason: Reason) -> [Option<Action>; 2] {
         self.phase = Phase::Finished;
         let final_action = match (self.has_response_started, self.may_have_run) {
-            (true, _) => Action::BreakOff(reason),
-            (false, true) => Action::SayUnknown(reason),
-            (false, false) => Action::SayNotRun(reason),
+            (true, _) => Action::AbortResponse(reason),
+            (false, true) => Action::ReportUnknown(reason),
+            (false, false) => Action::ReportNotRun(reason),
         };
         [Some(final_action), None]
     }
--- a/crates/gingerpier_once/tests/schedules.rs
+++ b/crates/gingerpier_once/tests/schedules.rs
@@ -4,10 +4,10 @@
 use {
     gingerpier_base::{Instant, place::Incarnation},
     gingerpier_once::{
-        Claims, Course, Door, Ticket,
+        Claims, Deduplicator, Lifecycle, Ticket,
         claims::{Settlement, Verdict},
-        course::{Action, Event, Repetition},
-        door::{Admission, AttemptKey, Refusal, Revocation},
+        dedup::{Admission, AttemptKey, Refusal, Revocation},
+        lifecycle::{Action, Event, Idempotency},
     },
     proptest::prelude::*,
 };
@@ -25,7 +25,7 @@
 struct Holder {
     entry: Incarnation,
     grant: Option<u32>,
-    course: Course,
+    lifecycle: Lifecycle,
     attempts: u64,
     addressed: Incarnation,
     reported_not_run: bool,
@@ -35,7 +35,7 @@
 struct Simulation {
     claims: Claims,
     ticket: Ticket,
-    door: Door,
+    deduplicator: Deduplicator,
     holders: Vec<Holder>,
     network: Vec<Message>,
     /// Holder of each attempt that ran.
@@ -51,7 +51,12 @@
         let holder = |entry| Holder {
             entry: Incarnation(entry),
             grant: None,
-            course: Course::new(Repetition::Forbidden, NOW.after_millis(60_000), 3, true),
+            lifecycle: Lifecycle::new(
+                Idempotency::NonIdempotent,
+                NOW.after_millis(60_000),
+                3,
+                true,
+            ),
             attempts: 0,
             addressed: Incarnation(1),
             reported_not_run: false,
@@ -60,7 +65,7 @@
         Self {
             claims,
             ticket,
-            door: Door::new(Incarnation(1), 600_000),
+            deduplicator: Deduplicator::new(Incarnation(1), 600_000),
             holders: vec![holder(100), holder(101)],
             network: Vec::new(),
             executions: Vec::new(),
@@ -73,7 +78,7 @@
         match self.claims.claim(self.ticket, entry, NOW) {
             Verdict::Granted(grant) => {
                 self.holders[index].grant = Some(grant);
-                self.handle_event(index, Event::Chosen, true);
+                self.handle_event(index, Event::EngineSelected, true);
             }
             _ => self.holders[index].is_finished = true,
         }
@@ -86,7 +91,7 @@
             entry: holder.entry,
             number: holder.attempts,
         };
-        let actions = holder.course.step(event, key, NOW);
+        let actions = holder.lifecycle.step(event, key, NOW);
         for action in actions.into_iter().flatten() {
             self.perform(index, action, duplicate);
         }
@@ -94,9 +99,11 @@
 
     fn perform(&mut self, index: usize, action: Action, duplicate: bool) {
         match action {
-            Action::Choose | Action::Resume => self.handle_event(index, Event::Chosen, duplicate),
+            Action::SelectEngine | Action::Resume => {
+                self.handle_event(index, Event::EngineSelected, duplicate)
+            }
             Action::Send(key) => {
-                let addressed = self.door.incarnation();
+                let addressed = self.deduplicator.incarnation();
                 self.holders[index].addressed = addressed;
                 let message = Message {
                     holder: index,
@@ -108,15 +115,17 @@
             }
             Action::Revoke(key) => {
                 let addressed = self.holders[index].addressed;
-                let revocation = self.door.revoke(key, addressed, NOW);
+                let revocation = self.deduplicator.revoke(key, addressed, NOW);
                 self.handle_event(index, Event::Revoked(revocation), duplicate);
             }
-            Action::SayNotRun(_) => {
+            Action::ReportNotRun(_) => {
                 self.holders[index].reported_not_run = true;
                 self.finish(index, Settlement::NotRun);
             }
-            Action::SayUnknown(_) | Action::BreakOff(_) => self.finish(index, Settlement::Unknown),
-            Action::Done => self.finish(index, Settlement::Answered),
+            Action::ReportUnknown(_) | Action::AbortResponse(_) => {
+                self.finish(index, Settlement::Unknown)
+            }
+            Action::Complete => self.finish(index, Settlement::Answered),
         }
     }
 
@@ -134,13 +143,17 @@
         }
         let message = self.network.swap_remove(message_index % self.network.len());
         let ready = if ready { Ok(()) } else { Err(Refusal::Full) };
-        match self.door.admit(message.key, message.addressed, ready, NOW) {
+        match self
+            .deduplicator
+            .admit(message.key, message.addressed, ready, NOW)
+        {
             Admission::Start => {
                 self.executions.push(message.holder);
                 self.executed_attempts.push(message.key);
             }
             Admission::Refuse(refusal) => {
-                let is_current = self.holders[message.holder].course.attempt() == Some(message.key);
+                let is_current =
+                    self.holders[message.holder].lifecycle.attempt() == Some(message.key);
                 if is_reply_delivered && is_current {
                     self.handle_event(message.holder, Event::Refused(refusal), false);
                 }
@@ -149,9 +162,9 @@
         }
     }
 
-    fn restart_door(&mut self) {
-        let incarnation = Incarnation(self.door.incarnation().0 + 1);
-        self.door = Door::new(incarnation, 600_000);
+    fn restart_backend(&mut self) {
+        let incarnation = Incarnation(self.deduplicator.incarnation().0 + 1);
+        self.deduplicator = Deduplicator::new(incarnation, 600_000);
     }
 
     fn assert_at_most_once(&self) {
@@ -183,7 +196,7 @@
             match step {
                 0 if !is_started && !simulation.holders[index].is_finished => simulation.claim_and_send(index),
                 1..=3 => simulation.deliver(usize::from(message_index), first_flag, second_flag),
-                4 => simulation.restart_door(),
+                4 => simulation.restart_backend(),
                 5 if is_started => simulation.handle_event(index, Event::LinkLost, second_flag),
                 6 if is_started => simulation.handle_event(index, Event::CallerGone, second_flag),
                 _ => {}
@@ -204,7 +217,7 @@
     let message = simulation.network[0];
     simulation.network.push(message);
     simulation.deliver(0, true, true);
-    simulation.restart_door();
+    simulation.restart_backend();
     simulation.deliver(0, true, true);
     assert!(simulation.holders[0].is_finished && !simulation.holders[0].reported_not_run);
     simulation.assert_at_most_once();
@@ -212,24 +225,25 @@
 
 #[test]
 fn late_duplicate_is_refused_after_its_record_is_removed() {
-    let mut door = Door::new(Incarnation(1), 10);
+    let mut deduplicator = Deduplicator::new(Incarnation(1), 10);
     let key = |number| AttemptKey {
         entry: Incarnation(9),
         number,
     };
     assert_eq!(
-        door.admit(key(5), Incarnation(1), Ok(()), NOW),
+        deduplicator.admit(key(5), Incarnation(1), Ok(()), NOW),
         Admission::Start
     );
-    door.end(key(5), NOW);
-    door.sweep(NOW.after_millis(20));
-    assert_eq!(door.remembered(), 0);
+    deduplicator.record_end(key(5), NOW);
+    deduplicator.remove_expired(NOW.after_millis(20));
+    assert_eq!(deduplicator.record_count(), 0);
     for number in [5, 4] {
-        let admission = door.admit(key(number), Incarnation(1), Ok(()), NOW.after_millis(30));
+        let admission =
+            deduplicator.admit(key(number), Incarnation(1), Ok(()), NOW.after_millis(30));
         assert_eq!(admission, Admission::Refuse(Refusal::Stale));
     }
     assert_eq!(
-        door.revoke(key(5), Incarnation(1), NOW),
+        deduplicator.revoke(key(5), Incarnation(1), NOW),
         Revocation::Unknown
     );
 }
--- a/crates/gingerpier_wire/src/frame.rs
+++ b/crates/gingerpier_wire/src/frame.rs
@@ -9,7 +9,7 @@
     gingerpier_membership::Listing,
     gingerpier_once::{
         claims::{Settlement, Verdict},
-        door::{AttemptKey, Refusal, Revocation},
+        dedup::{AttemptKey, Refusal, Revocation},
         ticket::Ticket,
     },
     minicbor::{Decode, Encode},
