--- a/crates/gingerpier_daemon/src/backend/fetches.rs
+++ b/crates/gingerpier_daemon/src/backend/fetches.rs
@@ -15,7 +15,7 @@
     gingerpier_services::weight_source,
     gingerpier_weights::{
         Fetch, Manifest, Plan,
-        fetch::{Action, Terms},
+        fetch::{Action, Policy},
         plan::{Replica, ReplicaKey, Source},
     },
     gingerpier_wire::{Reply, Request, frame::Peer},
@@ -80,7 +80,7 @@
     pub fn progress(&self) -> Progress {
         let machine = self.machine.borrow();
         Progress {
-            held: machine.as_ref().map_or(0, Fetch::held_count),
+            held: machine.as_ref().map_or(0, Fetch::cached_count),
             wanted: machine.as_ref().map_or(0, Fetch::chunk_count),
             origin_bytes: self.origin_bytes.get(),
             peer_bytes: self.peer_bytes.get(),
@@ -99,7 +99,7 @@
 
     pub(super) fn progress_at(&self, chunk: u32, attempt: u64) {
         if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            machine.progress(chunk, attempt, clock::now());
+            machine.record_progress(chunk, attempt, clock::now());
         }
     }
 
@@ -108,17 +108,17 @@
         let now = clock::now();
         self.heard.borrow_mut().insert(source, now);
         if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            machine.progress(chunk, attempt, now);
+            machine.record_progress(chunk, attempt, now);
             match source.replica() {
-                Some(peer) => machine.peer_sent(peer, now),
-                None => machine.origin_sent(now),
+                Some(peer) => machine.record_peer_message(peer, now),
+                None => machine.record_origin_message(now),
             }
         }
     }
 
     pub(super) fn want(&self, chunk: u32) {
         if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            machine.want(chunk);
+            machine.request_ahead(chunk);
         }
     }
 }
@@ -183,13 +183,13 @@
             self.follow_plan(&fetching, &manifest);
             let now = clock::now();
             if let Some(machine) = fetching.machine.borrow_mut().as_mut() {
-                machine.note_look(look_at, now);
+                machine.record_poll(look_at, now);
                 machine.poll(now, &mut actions);
             }
             look_at = now.after_millis(LOOK_MILLIS);
             for action in actions.drain(..) {
                 match action {
-                    Action::Ask {
+                    Action::Request {
                         chunk,
                         source,
                         attempt,
@@ -206,7 +206,7 @@
                         };
                         asks.start(ask, sender.clone());
                     }
-                    Action::Drop {
+                    Action::Cancel {
                         chunk,
                         source,
                         attempt,
@@ -237,7 +237,7 @@
                     return;
                 };
                 if let Some(machine) = fetching.machine.borrow_mut().as_mut() {
-                    machine.end(chunk, attempt, outcome, clock::now());
+                    machine.record_outcome(chunk, attempt, outcome, clock::now());
                 }
             }
         }
@@ -280,11 +280,11 @@
             Some(machine) => machine.replan(plan, me),
             None => {
                 let count = manifest.chunks.len() as u32;
-                let mut made = Fetch::new(self.fetch_terms(), plan, me, count);
+                let mut made = Fetch::new(self.fetch_policy(), plan, me, count);
                 let held = manifest.chunks.iter().enumerate();
                 for (index, _) in held.filter(|(_, digest)| self.weights.chunk(**digest).is_some())
                 {
-                    made.note_held(index as u32);
+                    made.record_cached(index as u32);
                 }
                 *machine = Some(made);
             }
@@ -294,12 +294,12 @@
         fetching.replicas.replace(replicas);
     }
 
-    fn fetch_terms(&self) -> Terms {
+    fn fetch_policy(&self) -> Policy {
         let settings = &self.settings.weights;
-        Terms {
+        Policy {
             window: settings.window as usize,
             stall_millis: settings.stall.0,
-            ..Terms::default()
+            ..Policy::default()
         }
     }
 
--- a/crates/gingerpier_daemon/src/backend/weights.rs
+++ b/crates/gingerpier_daemon/src/backend/weights.rs
@@ -6,7 +6,7 @@
     super::fetches::Fetching,
     bytes::Bytes,
     gingerpier_base::Digest,
-    gingerpier_weights::{Manifest, room::Room},
+    gingerpier_weights::{Manifest, memory::Reservations},
     std::{
         cell::{Cell, RefCell},
         collections::{BTreeMap, BTreeSet, HashMap},
@@ -30,7 +30,7 @@
     bytes: Cell<u64>,
     manifests: RefCell<BTreeMap<Digest, HeldManifest>>,
     fetches: RefCell<BTreeMap<Digest, Rc<Fetching>>>,
-    room: RefCell<Room>,
+    reservations: RefCell<Reservations>,
     arrivals: watch::Sender<u64>,
 }
 
@@ -42,7 +42,7 @@
             bytes: Cell::new(0),
             manifests: RefCell::default(),
             fetches: RefCell::default(),
-            room: RefCell::new(Room::new(budget)),
+            reservations: RefCell::new(Reservations::new(budget)),
             arrivals: watch::Sender::new(0),
         }
     }
@@ -98,7 +98,7 @@
     ///
     /// Where what is assigned leaves too little room.
     pub fn reserve(&self, version: Digest, bytes: u64) -> Result<(), String> {
-        let reserved = self.room.borrow_mut().reserve(version, bytes);
+        let reserved = self.reservations.borrow_mut().reserve(version, bytes);
         let dropped = reserved.map_err(|full| full.to_string())?;
         if !dropped.is_empty() {
             for version in &dropped {
@@ -115,7 +115,7 @@
     pub fn release_all_but(&self, needed: &[Digest]) {
         let fetches = self.fetches.borrow();
         for version in fetches.keys().filter(|version| !needed.contains(version)) {
-            self.room.borrow_mut().release(*version);
+            self.reservations.borrow_mut().unassign(*version);
         }
     }
 
--- a/crates/gingerpier_gateway/src/loader/update.rs
+++ b/crates/gingerpier_gateway/src/loader/update.rs
@@ -270,7 +270,7 @@
         route: Route::Leaf {
             relays: relay_set.relays,
             zone: weights::zone_hash(&loader.settings.zone),
-            rest: rest.collect(),
+            fallbacks: rest.collect(),
         },
         peers: addresses,
         window: GATEWAY_WINDOW,
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -11,7 +11,7 @@
     gingerpier_base::Instant,
     gingerpier_serving::dialect::Named,
     gingerpier_weights::{
-        fetch::{Action, Fetch, Outcome, Terms},
+        fetch::{Action, Fetch, Outcome, Policy},
         plan::Source,
     },
     std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc},
@@ -24,12 +24,12 @@
 /// Concurrent chunk requests to the origin: one transfers while the next waits.
 const MAX_ORIGIN_REQUESTS: usize = 2;
 
-const TERMS: Terms = Terms {
+const POLICY: Policy = Policy {
     window: 24,
     stall_millis: 1_200,
-    patience_millis: 4_000,
-    pause_millis: 100,
-    origin_at_once: MAX_ORIGIN_REQUESTS,
+    attempt_timeout_millis: 4_000,
+    backoff_millis: 100,
+    max_origin_requests: MAX_ORIGIN_REQUESTS,
 };
 
 /// Interval between checks for stalled requests.
@@ -185,30 +185,30 @@
         spec: &FetchSpec,
         model_version: Named,
     ) -> Self {
-        let terms = Terms {
+        let policy = Policy {
             window: spec.window,
-            patience_millis: spec.attempt_timeout_millis,
-            ..TERMS
+            attempt_timeout_millis: spec.attempt_timeout_millis,
+            ..POLICY
         };
         let manifest = carrier.manifest(&model_version);
         let count = manifest.map_or(0, |manifest| manifest.digests.len());
-        let origin_chunks = spec.route.entries(count as u32);
-        let mut fetch = Fetch::along(terms, spec.route.clone(), count as u32);
+        let origin_chunks = spec.route.origin_chunks(count as u32);
+        let mut fetch = Fetch::with_route(policy, spec.route.clone(), count as u32);
         let chunk_cache = carrier.chunk_cache.borrow();
         if let Some(chunk_set) = chunk_cache.get(&model_version.model, model_version.version) {
             for chunk in 0..count as u32 {
                 if chunk_set.chunk(chunk).is_some() {
-                    fetch.note_held(chunk);
+                    fetch.record_cached(chunk);
                 }
             }
         }
         drop(chunk_cache);
         // Chunks from the origin bypass the window, so that its link never idles.
         for chunk in origin_chunks {
-            fetch.want(chunk);
+            fetch.request_ahead(chunk);
         }
         if let Some(width) = carrier.sustained_peer_requests.get() {
-            fetch.start_with(width);
+            fetch.set_max_peer_requests(width);
         }
         let (sender, events) = unbounded_channel();
         Self {
@@ -219,7 +219,7 @@
             pool: Rc::default(),
             sender,
             events,
-            attempt_timeout_millis: terms.patience_millis,
+            attempt_timeout_millis: policy.attempt_timeout_millis,
             in_flight: HashMap::new(),
             actions: Vec::new(),
             last_halved: Instant::default(),
@@ -234,17 +234,17 @@
         loop {
             let mut actions = std::mem::take(&mut self.actions);
             let now = clock::now();
-            self.fetch.note_look(next_poll, now);
+            self.fetch.record_poll(next_poll, now);
             self.fetch.poll(now, &mut actions);
             next_poll = now.after_millis(POLL_INTERVAL_MILLIS);
             for action in actions {
                 match action {
-                    Action::Ask {
+                    Action::Request {
                         chunk,
                         source,
                         attempt,
                     } => self.start_request(chunk, source, attempt),
-                    Action::Drop {
+                    Action::Cancel {
                         chunk,
                         source,
                         attempt,
@@ -258,7 +258,7 @@
                         let took = clock::now().millis_since(started);
                         self.carrier
                             .sustained_peer_requests
-                            .set(Some(self.fetch.width()));
+                            .set(Some(self.fetch.max_peer_requests()));
                         tracing::info!(
                             version = self.model_version.version.0,
                             took,
@@ -294,14 +294,14 @@
                     .has_passed(now) =>
             {
                 self.last_halved = now;
-                self.fetch.narrow(&mut self.actions);
+                self.fetch.halve_peer_requests(&mut self.actions);
                 tracing::info!(
-                    width = self.fetch.width(),
+                    width = self.fetch.max_peer_requests(),
                     "slow chunk transfer; concurrent peer requests halved"
                 );
             }
             Event::SlowTransfer => {}
-            Event::Progress { chunk, attempt } => self.fetch.progress(chunk, attempt, now),
+            Event::Progress { chunk, attempt } => self.fetch.record_progress(chunk, attempt, now),
             Event::End {
                 chunk,
                 attempt,
@@ -318,7 +318,7 @@
                 }
                 self.chunks_from_origin +=
                     u32::from(outcome == Outcome::Held && source == Source::Origin);
-                self.fetch.end(chunk, attempt, outcome, now);
+                self.fetch.record_outcome(chunk, attempt, outcome, now);
             }
         }
     }
--- a/crates/gingerpier_gateway/src/weights/manifest.rs
+++ b/crates/gingerpier_gateway/src/weights/manifest.rs
@@ -52,7 +52,7 @@
     }
     let mut route_sources = Vec::new();
     route.sources(0, &mut route_sources);
-    let origin_delay = match route.is_near_origin() {
+    let origin_delay = match route.may_request_manifest_from_origin() {
         true => 0,
         false => ORIGIN_DELAY_MILLIS,
     };
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -245,7 +245,7 @@
         None => Route::Leaf {
             relays: relay_set.relays,
             zone: weights::zone_hash(&state.settings.zone),
-            rest: vec![Source::Origin],
+            fallbacks: vec![Source::Origin],
         },
     };
     let origin = state
--- a/crates/gingerpier_weights/src/fetch.rs
+++ b/crates/gingerpier_weights/src/fetch.rs
@@ -9,7 +9,7 @@
 //! message of its own for two stall periods is cancelled nevertheless.
 //!
 //! If this process was not scheduled for some time, all deadlines are extended by it, because data
-//! that arrived meanwhile is still unread; see [`Fetch::note_look`].
+//! that arrived meanwhile is still unread; see [`Fetch::record_poll`].
 
 use {
     crate::{
@@ -22,36 +22,36 @@
 
 /// Parameters of a fetch.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct Policy {
     /// Chunks fetched concurrently; default 24.
     pub window: usize,
     /// Time in milliseconds without progress before the next source is used; default 2,000.
     pub stall_millis: u64,
     /// Timeout of one attempt in milliseconds; default 30,000.
-    pub patience_millis: u64,
+    pub attempt_timeout_millis: u64,
     /// Delay in milliseconds before a chunk's sources are tried again after all have failed;
     /// default 1,000. Doubles with each consecutive failed round, up to three times.
-    pub pause_millis: u64,
+    pub backoff_millis: u64,
     /// Maximum concurrent requests to the origin; default 24.
     ///
     /// The lowest chunks are requested first, because a chunk that is fetched long before the
     /// replicas' windows reach it has a single holder and is lost with it.
-    pub origin_at_once: usize,
+    pub max_origin_requests: usize,
 }
 
-impl Default for Terms {
+impl Default for Policy {
     fn default() -> Self {
         Self {
             window: 24,
             stall_millis: 2_000,
-            patience_millis: 30_000,
-            pause_millis: 1_000,
-            origin_at_once: 24,
+            attempt_timeout_millis: 30_000,
+            backoff_millis: 1_000,
+            max_origin_requests: 24,
         }
     }
 }
 
-impl Terms {
+impl Policy {
     /// Stall deadline of a request that made progress `now`.
     const fn request_stall_deadline(&self, now: Instant) -> Instant {
         now.after_millis(REQUEST_STALLS * self.stall_millis)
@@ -83,7 +83,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Request `chunk` from `source`; the response is reported with the number `attempt`.
-    Ask {
+    Request {
         /// Requested chunk.
         chunk: u32,
         /// Source to send the request to.
@@ -92,7 +92,7 @@
         attempt: u64,
     },
     /// Cancel the attempt.
-    Drop {
+    Cancel {
         /// Requested chunk.
         chunk: u32,
         /// Source of the cancelled attempt.
@@ -142,10 +142,10 @@
 /// Progress of one version's fetch.
 #[derive(Debug)]
 pub struct Fetch {
-    terms: Terms,
+    policy: Policy,
     route: Route,
-    is_held: Vec<bool>,
-    held_count: u32,
+    is_cached: Vec<bool>,
+    cached_count: u32,
     /// Lowest chunk that the window has not reached.
     next_chunk: u32,
     open_chunks: BTreeMap<u32, Chunk>,
@@ -160,47 +160,47 @@
 
 impl Fetch {
     /// Creates a fetch along the trees of `plan`, by the replica `own`.
-    pub fn new(terms: Terms, plan: Plan, own: ReplicaKey, chunk_count: u32) -> Self {
+    pub fn new(policy: Policy, plan: Plan, own: ReplicaKey, chunk_count: u32) -> Self {
         let holders = Holders::default();
-        Self::along(terms, Route::Tree { plan, own, holders }, chunk_count)
+        Self::with_route(policy, Route::Tree { plan, own, holders }, chunk_count)
     }
 
     /// Creates a fetch of `chunk_count` chunks along `route`.
-    pub fn along(terms: Terms, route: Route, chunk_count: u32) -> Self {
+    pub fn with_route(policy: Policy, route: Route, chunk_count: u32) -> Self {
         Self {
-            terms,
+            policy,
             route,
-            is_held: vec![false; chunk_count as usize],
-            held_count: 0,
+            is_cached: vec![false; chunk_count as usize],
+            cached_count: 0,
             next_chunk: 0,
             open_chunks: BTreeMap::new(),
             corrupt_replicas: BTreeSet::new(),
             last_attempt: 0,
-            max_peer_requests: PEER_REQUESTS_PER_WINDOW_CHUNK * terms.window,
+            max_peer_requests: PEER_REQUESTS_PER_WINDOW_CHUNK * policy.window,
             source_buffer: Vec::new(),
         }
     }
 
     /// Marks a chunk as present, for example because another version contains it.
-    pub fn note_held(&mut self, chunk: u32) {
-        let is_held = &mut self.is_held[chunk as usize];
-        self.held_count += u32::from(!*is_held);
-        *is_held = true;
+    pub fn record_cached(&mut self, chunk: u32) {
+        let is_cached = &mut self.is_cached[chunk as usize];
+        self.cached_count += u32::from(!*is_cached);
+        *is_cached = true;
     }
 
     /// Number of chunks that are present.
-    pub const fn held_count(&self) -> u32 {
-        self.held_count
+    pub const fn cached_count(&self) -> u32 {
+        self.cached_count
     }
 
     /// Number of chunks of the version.
     pub fn chunk_count(&self) -> u32 {
-        self.is_held.len() as u32
+        self.is_cached.len() as u32
     }
 
     /// True if all chunks are present.
     pub fn is_complete(&self) -> bool {
-        self.held_count == self.chunk_count()
+        self.cached_count == self.chunk_count()
     }
 
     /// Replicas that sent corrupt data.
@@ -235,7 +235,7 @@
 
     /// Extends all deadlines by the delay of a poll that was due at `due`, if it is more than 100
     /// ms.
-    pub fn note_look(&mut self, due: Instant, now: Instant) {
+    pub fn record_poll(&mut self, due: Instant, now: Instant) {
         let late_millis = now.millis_since(due);
         if late_millis <= LATE_POLL_MILLIS {
             return;
@@ -253,11 +253,11 @@
     }
 
     /// Fetches `chunk` ahead of the window, because another replica requested it.
-    pub fn want(&mut self, chunk: u32) {
-        let is_valid = (chunk as usize) < self.is_held.len();
+    pub fn request_ahead(&mut self, chunk: u32) {
+        let is_valid = (chunk as usize) < self.is_cached.len();
         if is_valid
-            && !self.is_held[chunk as usize]
-            && self.open_chunks.len() < 4 * self.terms.window
+            && !self.is_cached[chunk as usize]
+            && self.open_chunks.len() < 4 * self.policy.window
         {
             self.open_chunks.entry(chunk).or_default();
         }
@@ -265,9 +265,9 @@
 
     /// Records that the source of `attempt` sent data, or reported that it is waiting for the chunk
     /// itself.
-    pub fn progress(&mut self, chunk: u32, attempt: u64, now: Instant) {
-        let stall_deadline = now.after_millis(self.terms.stall_millis);
-        let request_stall_deadline = self.terms.request_stall_deadline(now);
+    pub fn record_progress(&mut self, chunk: u32, attempt: u64, now: Instant) {
+        let stall_deadline = now.after_millis(self.policy.stall_millis);
+        let request_stall_deadline = self.policy.request_stall_deadline(now);
         if let Some(current) = self.attempt_mut(chunk, attempt) {
             current.stall_deadline = stall_deadline;
             current.request_stall_deadline = request_stall_deadline;
@@ -276,8 +276,8 @@
 
     /// Extends the stall deadlines of all requests to the origin after it sent data for any of
     /// them.
-    pub fn origin_sent(&mut self, now: Instant) {
-        let stall_deadline = now.after_millis(self.terms.stall_millis);
+    pub fn record_origin_message(&mut self, now: Instant) {
+        let stall_deadline = now.after_millis(self.policy.stall_millis);
         let attempts = self
             .open_chunks
             .values_mut()
@@ -289,8 +289,8 @@
 
     /// Extends the stall deadlines of all requests to `peer` after a message on any of them, but
     /// not beyond their request stall deadlines.
-    pub fn peer_sent(&mut self, peer: ReplicaKey, now: Instant) {
-        let stall_deadline = now.after_millis(self.terms.stall_millis);
+    pub fn record_peer_message(&mut self, peer: ReplicaKey, now: Instant) {
+        let stall_deadline = now.after_millis(self.policy.stall_millis);
         let attempts = self
             .open_chunks
             .values_mut()
@@ -302,13 +302,13 @@
 
     /// Records the result of an attempt. The result of a cancelled attempt is ignored unless the
     /// chunk was received.
-    pub fn end(&mut self, chunk: u32, attempt: u64, outcome: Outcome, now: Instant) {
+    pub fn record_outcome(&mut self, chunk: u32, attempt: u64, outcome: Outcome, now: Instant) {
         if outcome == Outcome::Held {
-            self.note_held(chunk);
+            self.record_cached(chunk);
             self.open_chunks.remove(&chunk);
             self.reset_backoff(now);
             self.max_peer_requests = (self.max_peer_requests + PEER_REQUESTS_INCREMENT)
-                .min(PEER_REQUESTS_PER_WINDOW_CHUNK * self.terms.window);
+                .min(PEER_REQUESTS_PER_WINDOW_CHUNK * self.policy.window);
             return;
         }
         let Some(current) = self.attempt_mut(chunk, attempt).copied() else {
@@ -332,7 +332,7 @@
             // Data from the origin may be corrupted in transit, so the origin is retried, not
             // skipped.
             Outcome::Corrupt if current.source == Source::Origin => {
-                state.retry_at = now.after_millis(self.terms.pause_millis);
+                state.retry_at = now.after_millis(self.policy.backoff_millis);
             }
             _ => state.failed_sources += 1,
         }
@@ -357,10 +357,10 @@
 
     fn fill_window(&mut self) {
         // Chunks requested ahead of the window don't count, or they would block it.
-        while self.open_chunks.range(..self.next_chunk).count() < self.terms.window
-            && (self.next_chunk as usize) < self.is_held.len()
+        while self.open_chunks.range(..self.next_chunk).count() < self.policy.window
+            && (self.next_chunk as usize) < self.is_cached.len()
         {
-            if !self.is_held[self.next_chunk as usize] {
+            if !self.is_cached[self.next_chunk as usize] {
                 self.open_chunks.entry(self.next_chunk).or_default();
             }
             self.next_chunk += 1;
@@ -383,7 +383,7 @@
                 self.max_peer_requests = (active_count / 2).max(MIN_PEER_REQUESTS);
             }
             let Attempt { number, source, .. } = attempt;
-            actions.push(Action::Drop {
+            actions.push(Action::Cancel {
                 chunk,
                 source,
                 attempt: number,
@@ -392,22 +392,22 @@
     }
 
     /// Limit of concurrent requests to peers.
-    pub const fn width(&self) -> usize {
+    pub const fn max_peer_requests(&self) -> usize {
         self.max_peer_requests
     }
 
     /// Sets the limit of concurrent requests to peers, for example to that of an earlier fetch over
     /// the same link.
-    pub fn start_with(&mut self, max_peer_requests: usize) {
+    pub fn set_max_peer_requests(&mut self, max_peer_requests: usize) {
         self.max_peer_requests = max_peer_requests.clamp(
             MIN_PEER_REQUESTS,
-            PEER_REQUESTS_PER_WINDOW_CHUNK * self.terms.window,
+            PEER_REQUESTS_PER_WINDOW_CHUNK * self.policy.window,
         );
     }
 
     /// Halves the concurrent requests to peers after a slow transfer indicated a congested link.
     /// Cancels the requests for the highest chunks; they are sent again later.
-    pub fn narrow(&mut self, actions: &mut Vec<Action>) {
+    pub fn halve_peer_requests(&mut self, actions: &mut Vec<Action>) {
         self.max_peer_requests = (self.active_attempt_count() / 2).max(MIN_PEER_REQUESTS);
         let mut surplus = self
             .active_attempt_count()
@@ -418,7 +418,7 @@
             }
             if let Some(attempt) = state.attempt.take() {
                 surplus -= 1;
-                actions.push(Action::Drop {
+                actions.push(Action::Cancel {
                     chunk: *chunk,
                     source: attempt.source,
                     attempt: attempt.number,
@@ -476,7 +476,7 @@
             let has_tried_source = state.failed_sources > 0;
             state.failed_sources = 0;
             let doublings = state.failed_rounds.min(MAX_BACKOFF_DOUBLINGS);
-            state.retry_at = now.after_millis(self.terms.pause_millis << doublings);
+            state.retry_at = now.after_millis(self.policy.backoff_millis << doublings);
             state.failed_rounds += 1;
             if !has_tried_source {
                 self.corrupt_replicas.clear();
@@ -484,7 +484,7 @@
             return;
         };
         let is_limited = match source {
-            Source::Origin => origin_requests >= self.terms.origin_at_once,
+            Source::Origin => origin_requests >= self.policy.max_origin_requests,
             Source::Replica(_) | Source::Holder(_) => is_at_peer_limit,
         };
         if is_limited {
@@ -495,11 +495,11 @@
         state.attempt = Some(Attempt {
             number,
             source,
-            stall_deadline: now.after_millis(self.terms.stall_millis),
-            request_stall_deadline: self.terms.request_stall_deadline(now),
-            total_deadline: now.after_millis(self.terms.patience_millis),
+            stall_deadline: now.after_millis(self.policy.stall_millis),
+            request_stall_deadline: self.policy.request_stall_deadline(now),
+            total_deadline: now.after_millis(self.policy.attempt_timeout_millis),
         });
-        actions.push(Action::Ask {
+        actions.push(Action::Request {
             chunk,
             source,
             attempt: number,
--- a/crates/gingerpier_weights/src/lib.rs
+++ b/crates/gingerpier_weights/src/lib.rs
@@ -20,9 +20,9 @@
 
 pub mod fetch;
 pub mod manifest;
+pub mod memory;
 pub mod plan;
 pub mod relay;
-pub mod room;
 pub mod route;
 
 pub use fetch::Fetch;
--- a/crates/gingerpier_weights/src/manifest.rs
+++ b/crates/gingerpier_weights/src/manifest.rs
@@ -149,7 +149,7 @@
         if found != wanted {
             return Err(Error::Digest { wanted, found });
         }
-        Self::from_unnamed_bytes(bytes)
+        Self::from_unverified_bytes(bytes)
     }
 
     /// Decodes and validates a manifest of any digest.
@@ -157,7 +157,7 @@
     /// # Errors
     ///
     /// Fails if the manifest is invalid.
-    pub fn from_unnamed_bytes(bytes: &[u8]) -> Result<Self, Error> {
+    pub fn from_unverified_bytes(bytes: &[u8]) -> Result<Self, Error> {
         let manifest: Self =
             minicbor::decode(bytes).map_err(|error| Error::Decode(error.to_string()))?;
         manifest.check()?;
--- a/crates/gingerpier_weights/src/room.rs
+++ b/crates/gingerpier_weights/src/memory.rs
@@ -7,7 +7,7 @@
 
 /// the version needs {needed} bytes, but only {free} of {budget} bytes are available; raise `chunk_memory` or assign fewer versions
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
-pub struct Full {
+pub struct InsufficientMemory {
     /// Requested bytes.
     pub needed: u64,
     /// Bytes not reserved by assigned versions.
@@ -16,7 +16,7 @@
     pub budget: u64,
 }
 
-impl std::error::Error for Full {}
+impl std::error::Error for InsufficientMemory {}
 
 #[derive(Debug, Clone, Copy)]
 struct Reservation {
@@ -29,13 +29,13 @@
 
 /// Memory reserved for each version, keyed by the digest of its manifest.
 #[derive(Debug)]
-pub struct Room {
+pub struct Reservations {
     budget: u64,
     reservations: BTreeMap<Digest, Reservation>,
     use_count: u64,
 }
 
-impl Room {
+impl Reservations {
     /// Creates an empty reservation table of `budget` bytes.
     pub const fn new(budget: u64) -> Self {
         Self {
@@ -58,7 +58,11 @@
     /// # Errors
     ///
     /// Fails without any change if the memory not reserved by assigned versions is too small.
-    pub fn reserve(&mut self, version: Digest, bytes: u64) -> Result<Vec<Digest>, Full> {
+    pub fn reserve(
+        &mut self,
+        version: Digest,
+        bytes: u64,
+    ) -> Result<Vec<Digest>, InsufficientMemory> {
         self.use_count += 1;
         let last_use = self.use_count;
         if let Some(reservation) = self.reservations.get_mut(&version) {
@@ -74,7 +78,7 @@
             .budget
             .saturating_sub(assigned.map(|reservation| reservation.bytes).sum());
         if bytes > free {
-            return Err(Full {
+            return Err(InsufficientMemory {
                 needed: bytes,
                 free,
                 budget: self.budget,
@@ -107,14 +111,14 @@
     }
 
     /// Marks a version as not assigned to any engine, which allows its eviction.
-    pub fn release(&mut self, version: Digest) {
+    pub fn unassign(&mut self, version: Digest) {
         if let Some(reservation) = self.reservations.get_mut(&version) {
             reservation.is_assigned = false;
         }
     }
 
     /// Versions that are not assigned to any engine.
-    pub fn idle(&self) -> impl Iterator<Item = Digest> {
+    pub fn unassigned(&self) -> impl Iterator<Item = Digest> {
         self.reservations
             .iter()
             .filter(|(_, reservation)| !reservation.is_assigned)
--- a/crates/gingerpier_weights/src/route.rs
+++ b/crates/gingerpier_weights/src/route.rs
@@ -74,7 +74,7 @@
         /// Stable hash of this process's zone.
         zone: u64,
         /// Sources to try after the relays, best first.
-        rest: Vec<Source>,
+        fallbacks: Vec<Source>,
     },
 }
 
@@ -94,15 +94,19 @@
                 relays.relay_sources(*own, chunk, sources);
                 holders.insert(chunk, sources);
             }
-            Self::Leaf { relays, zone, rest } => {
+            Self::Leaf {
+                relays,
+                zone,
+                fallbacks,
+            } => {
                 relays.leaf_sources(*zone, chunk, sources);
-                sources.extend_from_slice(rest);
+                sources.extend_from_slice(fallbacks);
             }
         }
     }
 
     /// True if this process may request the manifest from the origin without trying others first.
-    pub fn is_near_origin(&self) -> bool {
+    pub fn may_request_manifest_from_origin(&self) -> bool {
         match self {
             Self::Tree { .. } => true,
             Self::Relay { relays, own, .. } => relays.may_all_use_origin() || relays.is_head(*own),
@@ -112,7 +116,7 @@
 
     /// Chunks below `count` that this process fetches from the origin without waiting for another
     /// process.
-    pub fn entries(&self, count: u32) -> Vec<u32> {
+    pub fn origin_chunks(&self, count: u32) -> Vec<u32> {
         let mut sources = Vec::new();
         let mut is_entry = |chunk: &u32| {
             self.sources(*chunk, &mut sources);
--- a/crates/gingerpier_weights/tests/relays.rs
+++ b/crates/gingerpier_weights/tests/relays.rs
@@ -131,7 +131,7 @@
         let route = Route::Leaf {
             relays: relays.clone(),
             zone: relay(0).zone,
-            rest: vec![Source::Holder(ReplicaKey(12))],
+            fallbacks: vec![Source::Holder(ReplicaKey(12))],
         };
         let mut sources = Vec::new();
         route.sources(chunk, &mut sources);
@@ -144,7 +144,7 @@
         let zone = [0, 6].map(|key| Source::Replica(ReplicaKey(key)));
         assert_eq!(own, zone, "relays 0 and 6 share the zone");
         assert_eq!(sources.len(), 2 + 5 + 1);
-        assert!(route.entries(CHUNK_COUNT).is_empty());
+        assert!(route.origin_chunks(CHUNK_COUNT).is_empty());
     }
     assert_eq!(
         first_relays.len(),
@@ -215,9 +215,9 @@
             let deputy = sources.get(1).copied();
             let route = route(own, vec![ReplicaKey(20), ReplicaKey(21)]);
             route.sources(chunk, &mut sources);
-            let entries = route.entries(CHUNK_COUNT);
+            let origin_chunks = route.origin_chunks(CHUNK_COUNT);
             assert_eq!(
-                entries.contains(&chunk),
+                origin_chunks.contains(&chunk),
                 is_entry,
                 "chunk {chunk}, relay {own}"
             );
--- a/crates/gingerpier_weights/tests/spreading.rs
+++ b/crates/gingerpier_weights/tests/spreading.rs
@@ -5,10 +5,10 @@
     gingerpier_base::{Digest, Instant, order},
     gingerpier_weights::{
         Fetch, Manifest, Plan, Relays, Route,
-        fetch::{Action, Outcome, Terms},
+        fetch::{Action, Outcome, Policy},
         manifest::{Builder, Error},
+        memory::Reservations,
         plan::{Replica, ReplicaKey, Source},
-        room::Room,
     },
     proptest::prelude::*,
     std::collections::{BTreeMap, BTreeSet},
@@ -74,12 +74,12 @@
 
 fn new_fetch(chunks: u32) -> Fetch {
     let plan = Plan::new(1, &replicas(1, 4), 2);
-    let terms = Terms {
+    let policy = Policy {
         window: 2,
         stall_millis: 100,
-        ..Terms::default()
+        ..Policy::default()
     };
-    Fetch::new(terms, plan, ReplicaKey(3), chunks)
+    Fetch::new(policy, plan, ReplicaKey(3), chunks)
 }
 
 fn poll_fetch(fetch: &mut Fetch, now: Instant) -> Vec<Action> {
@@ -91,12 +91,17 @@
 #[test]
 fn stalled_source_is_replaced_by_the_next() {
     let mut fetch = new_fetch(1);
-    let [Action::Ask { source: first, .. }] = poll_fetch(&mut fetch, Instant::from_millis(0))[..]
+    let [Action::Request { source: first, .. }] =
+        poll_fetch(&mut fetch, Instant::from_millis(0))[..]
     else {
         panic!("expected a request")
     };
     let actions = poll_fetch(&mut fetch, Instant::from_millis(100));
-    let [Action::Drop { .. }, Action::Ask { source: second, .. }] = actions[..] else {
+    let [
+        Action::Cancel { .. },
+        Action::Request { source: second, .. },
+    ] = actions[..]
+    else {
         panic!("{actions:?}")
     };
     assert_ne!(first, second);
@@ -108,11 +113,11 @@
     let mut fetch = new_fetch(1);
     poll_fetch(&mut fetch, at(0));
     // The poll due at 50 runs at 950, which extends the deadline of 100 to 1,000.
-    fetch.note_look(at(50), at(950));
+    fetch.record_poll(at(50), at(950));
     assert_eq!(poll_fetch(&mut fetch, at(960)), []);
     assert_eq!(poll_fetch(&mut fetch, at(999)), []);
     let actions = poll_fetch(&mut fetch, at(1_000));
-    let [Action::Drop { .. }, Action::Ask { .. }] = actions[..] else {
+    let [Action::Cancel { .. }, Action::Request { .. }] = actions[..] else {
         panic!("{actions:?}")
     };
 }
@@ -122,9 +127,9 @@
     let at = Instant::from_millis;
     let mut fetch = new_fetch(1);
     poll_fetch(&mut fetch, at(0));
-    fetch.note_look(at(40), at(90));
+    fetch.record_poll(at(40), at(90));
     let actions = poll_fetch(&mut fetch, at(100));
-    let [Action::Drop { .. }, Action::Ask { .. }] = actions[..] else {
+    let [Action::Cancel { .. }, Action::Request { .. }] = actions[..] else {
         panic!("{actions:?}")
     };
 }
@@ -136,7 +141,7 @@
     for round in 0..200 {
         let now = Instant::from_millis(round);
         for action in poll_fetch(&mut fetch, now) {
-            let Action::Ask {
+            let Action::Request {
                 chunk,
                 source,
                 attempt,
@@ -147,14 +152,14 @@
             match (source, corrupt_source) {
                 (Source::Replica(key) | Source::Holder(key), None) => {
                     corrupt_source = Some(key);
-                    fetch.end(chunk, attempt, Outcome::Corrupt, now);
+                    fetch.record_outcome(chunk, attempt, Outcome::Corrupt, now);
                 }
                 (Source::Replica(key) | Source::Holder(key), Some(corrupt_source))
                     if key == corrupt_source =>
                 {
                     panic!("the corrupt source was used again");
                 }
-                _ => fetch.end(chunk, attempt, Outcome::Held, now),
+                _ => fetch.record_outcome(chunk, attempt, Outcome::Held, now),
             }
         }
     }
@@ -166,20 +171,24 @@
 fn corrupt_sources_are_retried_when_no_others_are_left() {
     let relays = Relays::new(1, replicas(1, 2));
     let zone = replicas(1, 2)[0].zone;
-    let rest = Vec::new();
-    let route = Route::Leaf { relays, zone, rest };
-    let mut fetch = Fetch::along(Terms::default(), route, 1);
+    let fallbacks = Vec::new();
+    let route = Route::Leaf {
+        relays,
+        zone,
+        fallbacks,
+    };
+    let mut fetch = Fetch::with_route(Policy::default(), route, 1);
     let mut now = Instant::from_millis(1_000);
     let mut response_count = 0;
     while !fetch.is_complete() {
         for action in poll_fetch(&mut fetch, now) {
-            if let Action::Ask { chunk, attempt, .. } = action {
+            if let Action::Request { chunk, attempt, .. } = action {
                 let outcome = match response_count < 2 {
                     true => Outcome::Corrupt,
                     false => Outcome::Held,
                 };
                 response_count += 1;
-                fetch.end(chunk, attempt, outcome, now);
+                fetch.record_outcome(chunk, attempt, outcome, now);
             }
         }
         now = now.after_millis(100);
@@ -193,13 +202,14 @@
 #[test]
 fn overloaded_origin_is_retried_at_the_returned_time() {
     let plan = Plan::new(1, &replicas(1, 1), 2);
-    let mut fetch = Fetch::new(Terms::default(), plan, ReplicaKey(0), 1);
-    let [Action::Ask { chunk, attempt, .. }] = poll_fetch(&mut fetch, Instant::from_millis(0))[..]
+    let mut fetch = Fetch::new(Policy::default(), plan, ReplicaKey(0), 1);
+    let [Action::Request { chunk, attempt, .. }] =
+        poll_fetch(&mut fetch, Instant::from_millis(0))[..]
     else {
         panic!("expected a request")
     };
     let until = Instant::from_millis(500);
-    fetch.end(
+    fetch.record_outcome(
         chunk,
         attempt,
         Outcome::Refused(until),
@@ -208,7 +218,7 @@
     assert!(poll_fetch(&mut fetch, Instant::from_millis(499)).is_empty());
     assert!(matches!(
         poll_fetch(&mut fetch, until)[..],
-        [Action::Ask {
+        [Action::Request {
             source: Source::Origin,
             ..
         }]
@@ -218,7 +228,7 @@
 #[test]
 fn assigned_version_is_never_evicted() {
     let [a, b, c] = [b"a", b"b", b"c"].map(|name| Digest::of(name));
-    let mut reservations = Room::new(10);
+    let mut reservations = Reservations::new(10);
     assert_eq!(reservations.reserve(a, 6), Ok(Vec::new()));
     assert_eq!(
         reservations
@@ -227,7 +237,7 @@
             .free,
         4
     );
-    reservations.release(a);
+    reservations.unassign(a);
     assert_eq!(reservations.reserve(b, 5), Ok(vec![a]));
     assert!(reservations.reserve(c, 6).is_err());
 }
@@ -261,7 +271,7 @@
 
     #[test]
     fn manifest_decoder_rejects_arbitrary_bytes_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
-        let _ = Manifest::from_unnamed_bytes(&bytes);
+        let _ = Manifest::from_unverified_bytes(&bytes);
         let other = Digest::of(b"other");
         let refused = matches!(Manifest::from_bytes(&bytes, other), Err(Error::Digest { .. }));
         prop_assert!(refused);
@@ -272,13 +282,12 @@
 fn chunks_requested_ahead_do_not_block_the_window() {
     let mut fetch = new_fetch(20);
     for chunk in 10..16 {
-        fetch.want(chunk);
+        fetch.request_ahead(chunk);
     }
     let mut actions = Vec::new();
     fetch.poll(Instant::from_millis(0), &mut actions);
     let is_requested = |chunk| {
-        let is_request =
-            |action: &Action| matches!(action, Action::Ask { chunk: other, .. } if *other == chunk);
+        let is_request = |action: &Action| matches!(action, Action::Request { chunk: other, .. } if *other == chunk);
         actions.iter().any(is_request)
     };
     assert!(
@@ -295,17 +304,17 @@
 fn congested_link_halves_concurrent_requests() {
     let mut fetch = new_fetch(40);
     for chunk in 0..8 {
-        fetch.want(chunk);
+        fetch.request_ahead(chunk);
     }
     let mut actions = Vec::new();
     fetch.poll(Instant::from_millis(0), &mut actions);
-    let before = fetch.width();
+    let before = fetch.max_peer_requests();
     actions.clear();
-    fetch.narrow(&mut actions);
-    assert!(fetch.width() <= before / 2);
+    fetch.halve_peer_requests(&mut actions);
+    assert!(fetch.max_peer_requests() <= before / 2);
     let dropped = actions
         .iter()
-        .filter(|action| matches!(action, Action::Drop { .. }))
+        .filter(|action| matches!(action, Action::Cancel { .. }))
         .count();
     assert_eq!(dropped, 4, "half of the eight requests must be cancelled");
 }
@@ -314,47 +323,47 @@
 fn unreachable_origin_does_not_reduce_peer_requests() {
     // The only replica of a plan fetches all chunks from the origin.
     let plan = Plan::new(1, &replicas(1, 1), 2);
-    let terms = Terms {
+    let policy = Policy {
         window: 8,
         stall_millis: 100,
-        ..Terms::default()
+        ..Policy::default()
     };
-    let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), 40);
+    let mut fetch = Fetch::new(policy, plan, ReplicaKey(0), 40);
     let mut actions = Vec::new();
-    let before = fetch.width();
+    let before = fetch.max_peer_requests();
     for step in 0..50 {
         fetch.poll(Instant::from_millis(step * 150), &mut actions);
     }
     let stalls = actions
         .iter()
-        .filter(|action| matches!(action, Action::Drop { .. }))
+        .filter(|action| matches!(action, Action::Cancel { .. }))
         .count();
     assert!(stalls > 20, "requests to the silent origin must stall");
-    assert_eq!(fetch.width(), before);
+    assert_eq!(fetch.max_peer_requests(), before);
 }
 
 /// Fetch by a zone root in a chain of two zones, which fetches every other chunk from the origin.
 fn fetch_by_zone_root(chunks: u32) -> Fetch {
     let plan = Plan::new(1, &replicas(2, 1), 1);
-    let terms = Terms {
+    let policy = Policy {
         window: 16,
         stall_millis: 100,
-        patience_millis: 10_000,
-        pause_millis: 10,
-        origin_at_once: 24,
+        attempt_timeout_millis: 10_000,
+        backoff_millis: 10,
+        max_origin_requests: 24,
     };
-    Fetch::new(terms, plan, ReplicaKey(0), chunks)
+    Fetch::new(policy, plan, ReplicaKey(0), chunks)
 }
 
 #[test]
 fn queued_origin_requests_are_not_cancelled_while_origin_sends() {
     let plan = Plan::new(1, &replicas(1, 1), 2);
-    let terms = Terms {
+    let policy = Policy {
         window: 8,
         stall_millis: 100,
-        ..Terms::default()
+        ..Policy::default()
     };
-    let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), 8);
+    let mut fetch = Fetch::new(policy, plan, ReplicaKey(0), 8);
     let requested = poll_fetch(&mut fetch, Instant::from_millis(0));
     assert_eq!(
         requested.len(),
@@ -363,13 +372,13 @@
     );
     for millis in (0..1_000).step_by(50) {
         let now = Instant::from_millis(millis);
-        fetch.origin_sent(now);
+        fetch.record_origin_message(now);
         assert_eq!(poll_fetch(&mut fetch, now), [], "at {millis}");
     }
     let actions = poll_fetch(&mut fetch, Instant::from_millis(1_100));
     let cancelled = actions
         .iter()
-        .filter(|action| matches!(action, Action::Drop { .. }));
+        .filter(|action| matches!(action, Action::Cancel { .. }));
     assert_eq!(
         cancelled.count(),
         8,
@@ -380,17 +389,17 @@
 /// A fetch with many requests to peers, and the chunk and attempt of each request by peer.
 fn fetch_from_peers() -> (Fetch, BTreeMap<ReplicaKey, Vec<(u32, u64)>>) {
     let plan = Plan::new(1, &replicas(1, 8), 2);
-    let terms = Terms {
+    let policy = Policy {
         window: 32,
         stall_millis: 100,
-        patience_millis: 10_000,
-        pause_millis: 10,
-        origin_at_once: 24,
+        attempt_timeout_millis: 10_000,
+        backoff_millis: 10,
+        max_origin_requests: 24,
     };
-    let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), 32);
+    let mut fetch = Fetch::new(policy, plan, ReplicaKey(0), 32);
     let mut requests = BTreeMap::<_, Vec<_>>::new();
     for action in poll_fetch(&mut fetch, Instant::from_millis(0)) {
-        if let Action::Ask {
+        if let Action::Request {
             chunk,
             source: Source::Replica(peer),
             attempt,
@@ -404,7 +413,7 @@
 
 fn cancelled_peer_requests(actions: &[Action]) -> Vec<(u32, u64)> {
     let dropped = actions.iter().filter_map(|action| match action {
-        Action::Drop {
+        Action::Cancel {
             chunk,
             attempt,
             source,
@@ -426,7 +435,7 @@
         active_requests.len() > 1 && !silent_peers.is_empty(),
         "{requests:?}"
     );
-    fetch.peer_sent(peer, at(90));
+    fetch.record_peer_message(peer, at(90));
     // All requests to the silent peers are cancelled, and none to the peer that sent a message.
     let silent_requests: BTreeSet<_> = silent_peers.into_values().flatten().collect();
     let cancelled: BTreeSet<_> = cancelled_peer_requests(&poll_fetch(&mut fetch, at(100)))
@@ -461,8 +470,8 @@
     let mut cancelled_at = BTreeMap::new();
     for millis in (0..=1_000).step_by(10) {
         let now = Instant::from_millis(millis);
-        fetch.progress(*chunk, *attempt, now);
-        fetch.peer_sent(*peer, now);
+        fetch.record_progress(*chunk, *attempt, now);
+        fetch.record_peer_message(*peer, now);
         for request in cancelled_peer_requests(&poll_fetch(&mut fetch, now)) {
             cancelled_at.entry(request).or_insert(millis);
         }
@@ -484,17 +493,17 @@
     // its minimum.
     let mut dropped = Vec::new();
     fetch.poll(Instant::from_millis(0), &mut dropped);
-    fetch.narrow(&mut dropped);
-    fetch.narrow(&mut dropped);
+    fetch.halve_peer_requests(&mut dropped);
+    fetch.halve_peer_requests(&mut dropped);
     for millis in (0..=3_000).step_by(50) {
         let now = Instant::from_millis(millis);
         let mut actions = Vec::new();
         fetch.poll(now, &mut actions);
         for (chunk, attempt) in &waiting {
-            fetch.progress(*chunk, *attempt, now);
+            fetch.record_progress(*chunk, *attempt, now);
         }
         for action in actions {
-            let Action::Ask {
+            let Action::Request {
                 chunk,
                 source,
                 attempt,
@@ -506,7 +515,7 @@
                 waiting.push((chunk, attempt));
                 continue;
             }
-            fetch.end(chunk, attempt, Outcome::Failed, now);
+            fetch.record_outcome(chunk, attempt, Outcome::Failed, now);
             if millis > WARM_UP_MILLIS {
                 requested.insert(chunk);
             }
@@ -524,14 +533,14 @@
     const CHUNKS: u32 = 48;
     const CHUNK_MILLIS: u64 = 45;
     let plan = Plan::new(1, &replicas(2, 20), 3);
-    let terms = Terms {
+    let policy = Policy {
         window: 24,
         stall_millis: 1_200,
-        patience_millis: 4_000,
-        pause_millis: 100,
-        origin_at_once: 24,
+        attempt_timeout_millis: 4_000,
+        backoff_millis: 100,
+        max_origin_requests: 24,
     };
-    let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), CHUNKS);
+    let mut fetch = Fetch::new(policy, plan, ReplicaKey(0), CHUNKS);
     let mut request_count = 0;
     let mut idle_at = 0;
     for step in 0..millis / 5 {
@@ -540,7 +549,7 @@
         fetch.poll(now, &mut actions);
         for action in actions {
             match action {
-                Action::Ask {
+                Action::Request {
                     chunk,
                     source,
                     attempt,
@@ -556,9 +565,9 @@
                     if is_idle {
                         idle_at = 5 * step + CHUNK_MILLIS;
                     }
-                    fetch.end(chunk, attempt, outcome, now);
+                    fetch.record_outcome(chunk, attempt, outcome, now);
                 }
-                Action::Drop { .. } => {}
+                Action::Cancel { .. } => {}
                 Action::Complete => return (request_count, Some(5 * step)),
             }
         }
@@ -587,13 +596,13 @@
 #[test]
 fn origin_requests_follow_chunk_order_after_an_outage() {
     let plan = Plan::new(1, &replicas(1, 1), 2);
-    let terms = Terms {
+    let policy = Policy {
         window: 24,
-        pause_millis: 100,
-        origin_at_once: 2,
-        ..Terms::default()
+        backoff_millis: 100,
+        max_origin_requests: 2,
+        ..Policy::default()
     };
-    let mut fetch = Fetch::new(terms, plan, ReplicaKey(0), 96);
+    let mut fetch = Fetch::new(policy, plan, ReplicaKey(0), 96);
     let mut received = Vec::new();
     let mut pending = Vec::new();
     for step in 0..400 {
@@ -614,10 +623,10 @@
             if outcome == Outcome::Held {
                 received.push(chunk);
             }
-            fetch.end(chunk, attempt, outcome, now);
+            fetch.record_outcome(chunk, attempt, outcome, now);
         }
         for action in poll_fetch(&mut fetch, now) {
-            if let Action::Ask { chunk, attempt, .. } = action {
+            if let Action::Request { chunk, attempt, .. } = action {
                 pending.push((chunk, attempt));
             }
         }
