--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
-        callers, clock, discovery,
+        clock, discovery,
         error::{Error, Step},
-        figures, log, members, relay, reports,
+        loader_configuration, log, members, proxy, relay, reports,
         state::State,
         store, suspects,
         weights::{self, peers},
@@ -84,7 +84,7 @@
     actix_rt::spawn(relay::serve(state.clone(), control_listener));
     actix_rt::spawn(relay::follow(state.clone()));
     actix_rt::spawn(peers::serve(state.carrier.clone(), chunk_listener));
-    actix_rt::spawn(figures::run(state.clone()));
+    actix_rt::spawn(loader_configuration::run(state.clone()));
     if state.settings.carries_weights {
         actix_rt::spawn(weights::relay::keep(state.clone()));
         actix_rt::spawn(weights::search::keep(state.clone()));
@@ -95,7 +95,7 @@
     actix_rt::spawn(suspects::send_digests(state.clone(), socket.clone()));
     actix_rt::spawn(reports::receive(state.clone(), socket));
     actix_rt::spawn(serve_readiness(state.clone(), readiness_listener));
-    actix_rt::spawn(callers::accept(state.clone(), caller_listener));
+    actix_rt::spawn(proxy::accept(state.clone(), caller_listener));
     actix_rt::spawn(sweep(state.clone()));
     actix_rt::spawn(run_ticks(state.clone()));
     actix_rt::spawn(log_hangups(hangup));
--- a/crates/gingerpier_gateway/src/lib.rs
+++ b/crates/gingerpier_gateway/src/lib.rs
@@ -18,20 +18,20 @@
 //! # }
 //! ```
 
-pub mod callers;
 pub mod client;
 pub mod compression;
 pub mod discovery;
 pub mod error;
-pub mod figures;
 pub mod gateway;
 pub mod items;
 pub mod loader;
+pub mod loader_configuration;
 pub mod log;
 mod members;
 pub mod message;
 pub mod metrics;
 pub mod pool;
+pub mod proxy;
 pub mod relay;
 pub mod reports;
 pub mod snapshots;
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -3,7 +3,7 @@
 
 use {
     super::Loader,
-    crate::{client::Client, clock, error::Error, figures, store},
+    crate::{client::Client, clock, error::Error, loader_configuration, store},
     gingerpier_base::order,
     gingerpier_serving::{
         asking::{Asking, Knowledge, Source, Step},
@@ -141,7 +141,7 @@
 }
 
 async fn query_gateway(loader: &Loader, gateway: SocketAddr) -> Result<(), Error> {
-    let response = figures::ask(gateway).await?;
+    let response = loader_configuration::ask(gateway).await?;
     loader.update_services(response.services);
     // Kept apart from the gateway's subscriptions, which report more precise ages.
     let source = Teller(!order::hash(&gateway));
--- a/crates/gingerpier_gateway/src/callers/attempt.rs
+++ b/crates/gingerpier_gateway/src/proxy/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt of a request at one engine, until the head of the response is read.
 
 use {
-    super::call::{AttemptOptions, RoutedRequest},
+    super::request::{AttemptOptions, RoutedRequest},
     crate::{clock, state::State},
     gingerpier_base::Instant,
     gingerpier_http1::{body::Decoder, connection::Connection, error::Error, head::Response},
--- a/crates/gingerpier_gateway/src/callers/ending.rs
+++ b/crates/gingerpier_gateway/src/proxy/completion.rs
@@ -3,8 +3,8 @@
 use {
     super::{
         Persistence,
-        answer::{self, ErrorResponse},
         attempt::{Aftermath, AttemptError, Cause},
+        error_response::{self, ErrorResponse},
         forward::{BufferedResponse, Forwarder},
         stream::Progress,
     },
@@ -128,7 +128,8 @@
         }
         self.log_ending(ending, progress);
         let names = self.state.dialect.names();
-        let bytes = answer::encode(error, self.request.head, names, self.closes_connection());
+        let bytes =
+            error_response::encode(error, self.request.head, names, self.closes_connection());
         match caller.write(&bytes).await {
             Ok(()) => Persistence::KeepAlive,
             Err(_) => Persistence::Close,
@@ -264,7 +265,7 @@
         );
     }
     let closes = state.is_stopping.get() || !head.keeps_alive();
-    let bytes = answer::encode(error, head, names, closes);
+    let bytes = error_response::encode(error, head, names, closes);
     match caller.write(&bytes).await {
         Ok(()) => Persistence::KeepAlive,
         Err(_) => Persistence::Close,
--- a/crates/gingerpier_gateway/src/callers/forward.rs
+++ b/crates/gingerpier_gateway/src/proxy/forward.rs
@@ -4,8 +4,8 @@
     super::{
         Persistence,
         attempt::{self, AttemptError, Cause, InFlight, PendingResponse},
-        call::{AttemptOptions, RoutedRequest},
-        starting::{self, StartupWait},
+        request::{AttemptOptions, RoutedRequest},
+        startup::{self, StartupWait},
         stream::{self, Progress},
         trial::Access,
     },
@@ -227,7 +227,7 @@
             return StartupWait::Expired;
         }
         self.has_waited = true;
-        starting::wait(self.state, caller).await
+        startup::wait(self.state, caller).await
     }
 
     fn record_attempt(&mut self, engine: EngineKey) {
--- a/crates/gingerpier_gateway/src/callers/mod.rs
+++ b/crates/gingerpier_gateway/src/proxy/mod.rs
@@ -1,23 +1,23 @@
 //! Server side of the proxy: callers' connections and their requests.
 
-pub mod answer;
 pub mod attempt;
-pub mod call;
-pub mod choosing;
-pub mod ending;
+pub mod completion;
+pub mod engine_choice;
+pub mod error_response;
 pub mod forward;
-pub mod starting;
+pub mod request;
+pub mod startup;
 pub mod stream;
 pub mod trial;
 
 use {
     crate::{clock, state::State},
-    answer::ErrorResponse,
-    call::RoutedRequest,
+    error_response::ErrorResponse,
     gingerpier_base::Instant,
     gingerpier_http1::{body::Decoder, connection::Connection, error::Error, head::Request},
     gingerpier_serving::configuration::Limits,
-    starting::StartupWait,
+    request::RoutedRequest,
+    startup::StartupWait,
     std::rc::Rc,
     tokio::net::TcpListener,
 };
@@ -127,7 +127,9 @@
         _ => ErrorResponse::Malformed,
     };
     tracing::warn!(cause = %error, "malformed request refused");
-    let _ = connection.write(&answer::encode_closing(response)).await;
+    let _ = connection
+        .write(&error_response::encode_closing(response))
+        .await;
     connection.shutdown().await;
 }
 
@@ -151,7 +153,7 @@
         Some(Ok(body)) => body,
         Some(Err(Error::BodyTooLong)) => {
             let _ = connection
-                .write(&answer::encode_closing(ErrorResponse::BodyTooLong))
+                .write(&error_response::encode_closing(ErrorResponse::BodyTooLong))
                 .await;
             return Persistence::Close;
         }
@@ -166,7 +168,7 @@
         if !matches!(request, Err(ErrorResponse::NoConfiguration)) {
             break request;
         }
-        match starting::wait(state, connection).await {
+        match startup::wait(state, connection).await {
             StartupWait::Retry => {}
             StartupWait::Expired => break request,
             StartupWait::Disconnected => return Persistence::Close,
@@ -174,7 +176,7 @@
     };
     let persistence = match request {
         Ok(request) => forward::forward(state, connection, &request).await,
-        Err(error) => ending::refuse(state, connection, head, error).await,
+        Err(error) => completion::refuse(state, connection, head, error).await,
     };
     if head.keeps_alive() && !state.is_stopping.get() {
         return persistence;
--- a/crates/gingerpier_gateway/src/callers/call.rs
+++ b/crates/gingerpier_gateway/src/proxy/request.rs
@@ -1,7 +1,7 @@
 //! Routing and authentication of a request, and its encoding for an engine.
 
 use {
-    super::answer::ErrorResponse,
+    super::error_response::ErrorResponse,
     crate::state::{State, TrafficClass},
     bytes::Bytes,
     gingerpier_base::Instant,
--- a/crates/gingerpier_gateway/src/callers/stream.rs
+++ b/crates/gingerpier_gateway/src/proxy/stream.rs
@@ -3,8 +3,8 @@
 use {
     super::{
         attempt::{self, AttemptError, Cause, InFlight, PendingResponse},
-        call::RoutedRequest,
         forward::{AttemptOutcome, Forwarder, disconnected},
+        request::RoutedRequest,
     },
     crate::clock,
     bytes::Bytes,
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -1,13 +1,13 @@
 //! State of a gateway, shared by its tasks on one thread.
 
-mod contact;
 mod engines;
-mod naming;
-mod places;
-mod unnamed;
-mod work;
+mod placement;
+mod release;
+mod shedding;
+mod store_contact;
+mod unreleased;
 
-pub use {unnamed::models, work::TrafficClass};
+pub use {shedding::TrafficClass, unreleased::models};
 
 use {
     crate::{
@@ -90,7 +90,7 @@
     arrivals: RefCell<HashMap<String, Arrivals>>,
     return_detector: RefCell<Returns>,
     prompt_sizes: RefCell<Sizes>,
-    shedding: RefCell<work::SheddingTable>,
+    shedding: RefCell<shedding::SheddingTable>,
     regions: Regions,
     releases: RefCell<HashMap<String, Namings>>,
     /// Version that the origin offers, by model.
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Carrier,
-    crate::{client::Client, clock, figures, relay},
+    crate::{client::Client, clock, loader_configuration, relay},
     bytes::Bytes,
     gingerpier_http1::{connection::Connection, head::Request, writer::Message},
     gingerpier_serving::{dialect::Named, report::Version},
@@ -132,8 +132,8 @@
 
 async fn build_response(carrier: &Carrier, request: &Request) -> Vec<u8> {
     let target = std::str::from_utf8(request.target()).unwrap_or_default();
-    if target == figures::PATH {
-        return figures::reply(carrier);
+    if target == loader_configuration::PATH {
+        return loader_configuration::reply(carrier);
     }
     let Some(peer_request) = PeerRequest::parse(target) else {
         return Message::response(404).body(b"");
--- a/crates/gingerpier_gateway/tests/figures.rs
+++ b/crates/gingerpier_gateway/tests/loader_configuration.rs
@@ -2,7 +2,7 @@
 
 use {
     gingerpier_base::Instant,
-    gingerpier_gateway::{figures, message},
+    gingerpier_gateway::{loader_configuration, message},
     gingerpier_serving::{
         configuration::{
             Configuration, EngineModel, Limits, Origin, Repeat, Route, Service, ServiceKey,
@@ -112,14 +112,15 @@
         let id = format!("engine-{number}");
         fleet.list(record(&id, number % 5, number, 3), Revision(1));
     }
-    let message = figures::build(&configuration.services_part().for_loaders(), &fleet, now);
+    let message =
+        loader_configuration::build(&configuration.services_part().for_loaders(), &fleet, now);
     let bytes = message::encode(&message);
     assert!(bytes.len() < 8_000, "{} bytes", bytes.len());
     let text = String::from_utf8_lossy(&bytes);
     for excluded in ["secret", "account", "route-", "h.example", "plain"] {
         assert!(!text.contains(excluded), "{excluded} is in the message");
     }
-    let decoded = figures::decode(message::decode(&bytes).expect("a message"));
+    let decoded = loader_configuration::decode(message::decode(&bytes).expect("a message"));
     let services = &decoded.services;
     assert_eq!(services.version, 7);
     assert_eq!(services.weights_digest(), configuration.weights_digest());
@@ -145,9 +146,9 @@
     fleet.list(record("old", 1, 1, 2), Revision(3));
     let now = Instant::from_millis(0);
     let services = configuration(origin(8_006)).services_part().for_loaders();
-    let message = figures::build(&services, &fleet, now);
+    let message = loader_configuration::build(&services, &fleet, now);
     assert_eq!(message.engines.len(), 1);
-    let decoded = figures::decode(message).fleet;
+    let decoded = loader_configuration::decode(message).fleet;
     let versions = decoded
         .listed()
         .map(|(_, engine)| engine.version_of("m", now));
@@ -167,7 +168,10 @@
     fleet.list(record("a", 1, 1, 4), Revision(1));
     let now = Instant::from_millis(0);
     let services = configuration(origin(8_006)).services_part().for_loaders();
-    let mut message = figures::build(&services, &fleet, now);
+    let mut message = loader_configuration::build(&services, &fleet, now);
     message.engines[0].zone = 9;
-    assert_eq!(figures::decode(message).fleet.listed().count(), 0);
+    assert_eq!(
+        loader_configuration::decode(message).fleet.listed().count(),
+        0
+    );
 }
