--- a/crates/gingerpier_gateway/src/discovery.rs
+++ b/crates/gingerpier_gateway/src/discovery.rs
@@ -98,25 +98,28 @@
         state.metrics.store_calls.inc();
         match store::read_all(&mut client, state.dialect, Scope::Engines, true).await {
             Ok(copy) => {
-                let records = copy.items.iter().filter_map(|item| state.items.read(item));
+                let records = copy
+                    .items
+                    .iter()
+                    .filter_map(|item| state.item_parser.read(item));
                 let loaders = records.filter_map(|fact| match fact {
                     Fact::Engine(record) if record.zone == state.settings.zone => {
                         Some(record.address.ip())
                     }
                     _ => None,
                 });
-                *state.first_loaders.borrow_mut() = loaders.collect();
+                *state.bootstrap_loaders.borrow_mut() = loaders.collect();
                 tracing::info!(
-                    loaders = state.first_loaders.borrow().len(),
+                    loaders = state.bootstrap_loaders.borrow().len(),
                     "engine list read to discover gateways"
                 );
-                if !state.first_loaders.borrow().is_empty() {
+                if !state.bootstrap_loaders.borrow().is_empty() {
                     return;
                 }
                 clock::pause(MAX_RETRY_PAUSE_MILLIS).await;
             }
             Err(error) => {
-                state.note_store_failure(&error);
+                state.record_store_failure(&error);
                 clock::pause(fastrand::u64(..MAX_RETRY_PAUSE_MILLIS)).await;
             }
         }
@@ -125,5 +128,5 @@
 
 /// True while neither a configuration nor another gateway is known.
 fn is_isolated(state: &State) -> bool {
-    state.configuration().is_none() && state.neighbours().is_empty()
+    state.configuration().is_none() && state.neighbour_addresses().is_empty()
 }
--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -128,7 +128,7 @@
         state
             .metrics
             .unparsed_items
-            .set(state.items.left_out() as i64);
+            .set(state.item_parser.left_out() as i64);
         state.update_suspect_metrics();
         let fleet = state.fleet.borrow();
         let is_present = |key: &_| !fleet.engine(*key).is_gone;
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -87,7 +87,7 @@
     /// Platform protocol.
     pub dialect: &'static dyn Dialect,
     /// Parser of store items.
-    pub items: Reader,
+    pub item_parser: Reader,
     /// Chunk cache and transfers.
     pub carrier: Rc<Carrier>,
     /// Subscribed gateways by address.
@@ -122,7 +122,7 @@
             seeds: Self::seeds(&settings),
             settings,
             dialect,
-            items: Reader::new(dialect),
+            item_parser: Reader::new(dialect),
             carrier,
             engine_lock: Mutex::new(()),
             subscribers: RefCell::default(),
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -177,7 +177,7 @@
 }
 
 fn list_engine(loader: &Loader, fleet: &mut Fleet, item: &Item) {
-    if let Some(Fact::Engine(record)) = loader.items.read(item) {
+    if let Some(Fact::Engine(record)) = loader.item_parser.read(item) {
         fleet.list(*record, item.revision);
     }
 }
@@ -202,7 +202,7 @@
 
 fn apply_items(loader: &Loader, items: &[Item], at: Revision) {
     for item in items {
-        match loader.items.read(item) {
+        match loader.item_parser.read(item) {
             Some(Fact::Configuration(configuration)) => {
                 loader.update_services(configuration.services_part().for_loaders());
             }
--- a/crates/gingerpier_gateway/src/loader_configuration.rs
+++ b/crates/gingerpier_gateway/src/loader_configuration.rs
@@ -56,7 +56,7 @@
         clock::pause(MIN_REBUILD_INTERVAL_MILLIS).await;
         let next_rebuild = clock::now().after_millis(REBUILD_INTERVAL_MILLIS);
         // Rebuilds on a change and on a timeout alike.
-        let _ = clock::before(next_rebuild, state.news.notified()).await;
+        let _ = clock::before(next_rebuild, state.mirror_changed.notified()).await;
     }
 }
 
--- a/crates/gingerpier_gateway/src/proxy/engine_choice.rs
+++ b/crates/gingerpier_gateway/src/proxy/engine_choice.rs
@@ -104,7 +104,7 @@
             target_share: self.target_share(now),
             even: self.state.fairness(request.traffic_class(), now),
             homes: request.regions,
-            cold: self.state.cold_terms(request.service_settings()),
+            cold: self.state.cold_limits(request.service_settings()),
             zone: &self.state.settings.zone,
             gateways: self.state.zones.borrow().gateway_count(),
             others_per_milli: self.state.peer_arrivals_per_milli(service, now),
--- a/crates/gingerpier_gateway/src/relay.rs
+++ b/crates/gingerpier_gateway/src/relay.rs
@@ -108,12 +108,12 @@
         return Message::response(200).body(state.metrics.text().as_bytes());
     }
     if target == HELD_PATH {
-        return Message::response(200).body(state.held_text().as_bytes());
+        return Message::response(200).body(state.held_requests_text().as_bytes());
     }
     if let Some(fingerprint) = target.strip_prefix(RELEASE_PATH) {
         let is_valid = request.method() == b"POST" && !fingerprint.is_empty();
         let released = if is_valid {
-            state.release(fingerprint)
+            state.dismiss_held(fingerprint)
         } else {
             0
         };
@@ -137,8 +137,8 @@
         .metrics
         .note_message(Kind::Snapshot, encoded.bytes.len());
     let ages = Ages {
-        last_contact: state.word_age(),
-        last_current: state.fresh_age(),
+        last_contact: state.silence_millis(),
+        last_current: state.mirror_age_millis(),
         wait: clock::now().millis_since(received_at),
         last_recovery: RecoveryAge::of(state),
     };
@@ -155,7 +155,7 @@
 async fn wait_for_changes(state: &State, snapshot_request: &SnapshotRequest) {
     let deadline = clock::now().after_millis(snapshot_request.wait_millis.min(MAX_WAIT_MILLIS));
     while state.mirror.borrow().at() <= snapshot_request.after {
-        let changes = clock::before(deadline, state.news.notified());
+        let changes = clock::before(deadline, state.mirror_changed.notified());
         if changes.await.is_none() {
             return;
         }
@@ -219,7 +219,7 @@
     if age > max_age_millis {
         return Err(Failure::Old);
     }
-    state.note_contact(age);
+    state.record_contact(age);
     Ok(())
 }
 
@@ -227,7 +227,7 @@
 pub async fn ask_first_copy(state: &State, peer: SocketAddr) -> bool {
     let age = fetch_snapshot(state, peer).await;
     if let Some(age) = age {
-        state.note_contact(age);
+        state.record_contact(age);
     }
     age.is_some()
 }
@@ -256,7 +256,7 @@
 
 impl RecoveryAge {
     fn of(state: &State) -> Option<Self> {
-        let last = state.last_return()?;
+        let last = state.last_recovery()?;
         Some(Self {
             remaining_millis: last.until.millis_since(clock::now()),
             revision: last.revision,
@@ -347,7 +347,7 @@
         revision: last.revision,
         until: created_at.after_millis(last.remaining_millis),
     });
-    state.note_told_outage(confirmed_at, last_recovery);
+    state.record_peer_outage(confirmed_at, last_recovery);
 }
 
 fn apply_snapshot(state: &State, received: ReceivedSnapshot) {
@@ -355,11 +355,11 @@
     let items = received.snapshot.items.into_iter();
     let items = items.map(SharedItem::item).collect();
     if received.snapshot.is_changes {
-        state.apply(items, at);
+        state.apply_changes(items, at);
     } else {
-        state.replace(items, at);
+        state.replace_mirror(items, at);
     }
-    state.note_told(
+    state.record_peer_freshness(
         received.sent_at,
         received.ages.last_current,
         received.ages.wait,
@@ -371,7 +371,7 @@
 pub async fn follow(state: Rc<State>) {
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
-        if !state.lacks_contact() {
+        if !state.has_stale_contact() {
             continue;
         }
         let polls = choose_peers(&state)
@@ -385,10 +385,10 @@
 /// for its zone. That limits transfers of a large configuration between regions.
 fn choose_peers(state: &State) -> Vec<SocketAddr> {
     let own = state.settings.control;
-    let zone_peers = state.neighbours();
+    let zone_peers = state.neighbour_addresses();
     let mut peers: Vec<SocketAddr> = match watching::is_watcher(own, zone_peers.iter().copied()) {
         true => {
-            let reachable = state.living_gateways().into_iter();
+            let reachable = state.alive_gateways().into_iter();
             let reachable =
                 reachable.map(|gateway| SocketAddr::new(gateway.address.ip(), own.port()));
             reachable
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -73,7 +73,7 @@
 fn loaders(state: &State) -> BTreeSet<SocketAddr> {
     let port = state.settings.peers.port();
     let Some(configuration) = state.configuration() else {
-        let bootstrap = state.first_loaders.borrow();
+        let bootstrap = state.bootstrap_loaders.borrow();
         return bootstrap
             .iter()
             .map(|ip| SocketAddr::new(*ip, port))
--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -133,7 +133,7 @@
                 target_share: 1.0,
                 even: Even::default(),
                 homes: Homes::ANYWHERE,
-                cold: self.cold_terms(service),
+                cold: self.cold_limits(service),
                 zone: &self.settings.zone,
                 gateways: self.zones.borrow().gateway_count(),
                 others_per_milli: 0.0,
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -7,7 +7,7 @@
 mod store_contact;
 mod unreleased;
 
-pub use {shedding::TrafficClass, unreleased::models};
+pub use {shedding::TrafficClass, unreleased::configured_models};
 
 use {
     crate::{
@@ -52,7 +52,7 @@
     /// Protocol of the deployment platform.
     pub dialect: &'static dyn Dialect,
     /// Parser of the store's items.
-    pub items: Reader,
+    pub item_parser: Reader,
     /// Local copy of the store.
     pub mirror: RefCell<Mirror>,
     /// Known engines and their load.
@@ -66,11 +66,11 @@
     /// Membership of the gateways and exchange of digests between zones.
     pub zones: RefCell<Exchange>,
     /// Notified when the mirror changes.
-    pub news: Notify,
+    pub mirror_changed: Notify,
     /// Notified when a known version of weights changes.
     pub release_changed: Notify,
     /// Engine machines of the own zone, known before a configuration is loaded.
-    pub first_loaders: RefCell<BTreeSet<IpAddr>>,
+    pub bootstrap_loaders: RefCell<BTreeSet<IpAddr>>,
     /// Encoded store snapshots for other gateways.
     pub snapshots: Snapshots,
     /// Requests that are suspected of crashing engines.
@@ -119,16 +119,16 @@
         Self {
             settings,
             dialect,
-            items: Reader::new(dialect),
+            item_parser: Reader::new(dialect),
             mirror: RefCell::default(),
             fleet: RefCell::new(Fleet::of(regions.clone())),
             retry_budgets: RefCell::default(),
             pool: RefCell::default(),
             metrics: Metrics::default(),
             zones: RefCell::new(zones),
-            news: Notify::new(),
+            mirror_changed: Notify::new(),
             release_changed: Notify::new(),
-            first_loaders: RefCell::default(),
+            bootstrap_loaders: RefCell::default(),
             snapshots: Snapshots::default(),
             suspect_state: SuspectState::default(),
             carrier: Rc::new(Carrier::new(dialect)),
@@ -172,7 +172,7 @@
 
     /// Applies changes up to revision `at` from another gateway; keys may have been deleted and
     /// written again in between.
-    pub fn apply(&self, changes: Changes, at: Revision) {
+    pub fn apply_changes(&self, changes: Changes, at: Revision) {
         let changes = self.slim(changes);
         let changes = self.mirror.borrow_mut().apply(changes, at);
         self.handle_changes(changes, |item| Absence::Event(item.revision));
@@ -191,7 +191,7 @@
     }
 
     /// Replaces the mirror with a full copy of the store at revision `at`.
-    pub fn replace(&self, items: Vec<Item>, at: Revision) {
+    pub fn replace_mirror(&self, items: Vec<Item>, at: Revision) {
         let changes = self.mirror.borrow_mut().replace(items, at);
         self.handle_changes(changes, |_| Absence::Listed);
     }
@@ -205,11 +205,11 @@
         }
         let at = self.mirror.borrow().at();
         self.metrics.revision.set(at.0 as i64);
-        self.news.notify_waiters();
+        self.mirror_changed.notify_waiters();
     }
 
     fn handle_item(&self, item: &Item) {
-        match self.items.read(item) {
+        match self.item_parser.read(item) {
             Some(Fact::Configuration(configuration)) => self.apply_configuration(*configuration),
             Some(Fact::Engine(record)) => self.list_engine(*record, item.revision),
             Some(Fact::Weights(release)) => self.record_release(&release),
@@ -322,7 +322,7 @@
     }
 
     /// Gateways of all zones that are alive.
-    pub fn living_gateways(&self) -> BTreeSet<GatewayPlace> {
+    pub fn alive_gateways(&self) -> BTreeSet<GatewayPlace> {
         let zones = self.zones.borrow();
         let alive = zones.living(clock::now());
         let location = |(zone, address): (&str, SocketAddr)| GatewayPlace {
@@ -333,7 +333,7 @@
     }
 
     /// Control addresses of the other live gateways of this zone.
-    pub fn neighbours(&self) -> Vec<SocketAddr> {
+    pub fn neighbour_addresses(&self) -> Vec<SocketAddr> {
         let port = self.settings.control.port();
         let neighbours = self.zones.borrow().neighbours();
         let control_address = |peer: SocketAddr| SocketAddr::new(peer.ip(), port);
--- a/crates/gingerpier_gateway/src/state/placement.rs
+++ b/crates/gingerpier_gateway/src/state/placement.rs
@@ -27,7 +27,7 @@
             zone,
             is_evacuated,
             revision = revision.0,
-            age = ?self.contact_age(),
+            age = ?self.contact_age_millis(),
             "zone evacuation changed"
         );
     }
@@ -50,7 +50,7 @@
     }
 
     /// Limits on requests to cold engines of `service`.
-    pub fn cold_terms(&self, service: &Service) -> Terms {
+    pub fn cold_limits(&self, service: &Service) -> Terms {
         Terms {
             per_second: service.cold_per_second,
             overshoot: self.settings.cold_overshoot,
@@ -70,7 +70,7 @@
         let gateways = zones.gateway_count();
         let mut fleet = self.fleet.borrow_mut();
         for service in configuration.services() {
-            let limits = self.cold_terms(service);
+            let limits = self.cold_limits(service);
             if !limits.may_be_cold() {
                 continue;
             }
--- a/crates/gingerpier_gateway/src/state/release.rs
+++ b/crates/gingerpier_gateway/src/state/release.rs
@@ -34,7 +34,7 @@
     }
 
     /// Newest release of each model.
-    pub fn named(&self) -> Vec<Named> {
+    pub fn newest_releases(&self) -> Vec<Named> {
         let releases = self.releases.borrow();
         let newest = |(model, model_releases): (&String, &Namings)| {
             Some(Named {
@@ -46,14 +46,14 @@
     }
 
     /// Newest released version of `model`.
-    pub fn newest_named(&self, model: &str) -> Option<Version> {
+    pub fn newest_release(&self, model: &str) -> Option<Version> {
         let releases = self.releases.borrow();
         Some(releases.get(model)?.newest()?.version)
     }
 
     /// True if another process may already have a part of the version: it is no release, is known
     /// for `millis`, or may have been released before this process began to run.
-    pub fn may_be_held(&self, release: &Named, millis: u64) -> bool {
+    pub fn may_be_distributed(&self, release: &Named, millis: u64) -> bool {
         let releases = self.releases.borrow();
         let model_releases = releases
             .get(&release.model)
--- a/crates/gingerpier_gateway/src/state/store_contact.rs
+++ b/crates/gingerpier_gateway/src/state/store_contact.rs
@@ -32,7 +32,7 @@
 
     /// Records contact to the store `age` milliseconds ago; 0 for a response to this gateway
     /// itself.
-    pub fn note_contact(&self, age: u64) {
+    pub fn record_contact(&self, age: u64) {
         let at = Instant::from_millis(clock::now().as_millis().saturating_sub(age));
         let last = self.last_contact.get();
         self.last_contact.set(last.max(Some(at)));
@@ -42,18 +42,18 @@
     }
 
     /// Records a failed call to the store.
-    pub fn note_store_failure(&self, cause: &dyn std::fmt::Display) {
+    pub fn record_store_failure(&self, cause: &dyn std::fmt::Display) {
         self.with_outage(|outage| outage.note_failure(clock::now()));
-        let age = self.contact_age();
+        let age = self.contact_age_millis();
         tracing::warn!(store = %self.settings.store, cause = %cause, ?age, "store does not answer");
     }
 
     /// Records a store response at `revision`.
     pub fn record_store_response(&self, revision: Revision) {
         let now = clock::now();
-        let previous = self.last_return();
+        let previous = self.last_recovery();
         self.with_outage(|outage| outage.note_answer(revision, now));
-        if let Some(new) = self.last_return().filter(|new| Some(*new) != previous) {
+        if let Some(new) = self.last_recovery().filter(|new| Some(*new) != previous) {
             let millis = new.until.millis_since(now);
             tracing::info!(
                 revision = revision.0,
@@ -64,7 +64,7 @@
     }
 
     /// Records when the store last responded to another gateway, and the last recovery that it saw.
-    pub fn note_told_outage(&self, answered: Option<Instant>, last_return: Option<Return>) {
+    pub fn record_peer_outage(&self, answered: Option<Instant>, last_return: Option<Return>) {
         let now = clock::now();
         self.with_outage(|outage| {
             // The recovery is judged by the state before this response.
@@ -78,7 +78,7 @@
     }
 
     /// Last recovery of the store, while engines' missing entries may still return.
-    pub fn last_return(&self) -> Option<Return> {
+    pub fn last_recovery(&self) -> Option<Return> {
         self.outage.get().last_return(clock::now())
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Milliseconds since the last contact to the store; `None` before the first one.
-    pub fn contact_age(&self) -> Option<u64> {
+    pub fn contact_age_millis(&self) -> Option<u64> {
         // Received bytes count only after a complete first response.
         let contact = self.last_contact.get()?;
         let last = self
@@ -101,15 +101,15 @@
 
     /// Milliseconds since the last contact to the store, or since process start before the first
     /// one.
-    pub fn word_age(&self) -> u64 {
+    pub fn silence_millis(&self) -> u64 {
         let last_received = self.store_received_at.get().max(self.last_contact.get());
         let last = last_received.unwrap_or(self.started).max(self.started);
         clock::now().millis_since(last)
     }
 
     /// True if the last contact to the store is too long ago.
-    pub fn lacks_contact(&self) -> bool {
-        self.contact_age()
+    pub fn has_stale_contact(&self) -> bool {
+        self.contact_age_millis()
             .is_none_or(|age| age > MAX_CONTACT_AGE_MILLIS)
     }
 
@@ -123,7 +123,12 @@
     /// Records how fresh another gateway's response was. `requested` is when the request was sent,
     /// `held_for_millis` how long the gateway held it, and `age_millis` the age of its mirror;
     /// `None` if it doesn't know.
-    pub fn note_told(&self, requested: Instant, age_millis: Option<u64>, held_for_millis: u64) {
+    pub fn record_peer_freshness(
+        &self,
+        requested: Instant,
+        age_millis: Option<u64>,
+        held_for_millis: u64,
+    ) {
         let Some(age_millis) = age_millis else { return };
         let peer_age = Told {
             held_millis: held_for_millis,
@@ -135,7 +140,7 @@
     }
 
     /// Milliseconds since the mirror was certainly complete; `None` before that.
-    pub fn fresh_age(&self) -> Option<u64> {
+    pub fn mirror_age_millis(&self) -> Option<u64> {
         self.freshness.get().age(clock::now())
     }
 }
--- a/crates/gingerpier_gateway/src/state/unreleased.rs
+++ b/crates/gingerpier_gateway/src/state/unreleased.rs
@@ -7,7 +7,7 @@
 };
 
 /// Models of the configuration's engines, as pairs of service and model.
-pub fn models(configuration: &Configuration) -> impl Iterator<Item = (&str, &str)> {
+pub fn configured_models(configuration: &Configuration) -> impl Iterator<Item = (&str, &str)> {
     let engines = configuration.services_part().engines();
     engines.filter_map(|(service, engines)| {
         Some((service.name.as_str(), engines.models.first()?.as_str()))
@@ -16,21 +16,21 @@
 
 impl State {
     /// Known versions of `model`, including those that engines of `service` have loaded.
-    pub fn known_weights(&self, service: &str, model: &str) -> Known {
+    pub fn known_versions(&self, service: &str, model: &str) -> Known {
         let now = clock::now();
         let fleet = self.fleet.borrow();
         let present = fleet.present(service);
         let loaded_versions = present.filter_map(|(_, engine)| engine.version_of(model, now));
         Known {
             held: loaded_versions.max(),
-            ..self.known_origin(model)
+            ..self.available_versions(model)
         }
     }
 
     /// Known versions of `model` from releases and the origin only.
-    pub fn known_origin(&self, model: &str) -> Known {
+    pub fn available_versions(&self, model: &str) -> Known {
         Known {
-            named: self.newest_named(model),
+            named: self.newest_release(model),
             found: self.origin_versions.borrow().get(model).copied(),
             held: None,
         }
@@ -45,7 +45,7 @@
     }
 
     /// Records the version that the origin offers and notifies loaders.
-    pub fn note_found(&self, found: Named) {
+    pub fn record_origin_version(&self, found: Named) {
         let previous = self
             .origin_versions
             .borrow_mut()
@@ -62,12 +62,12 @@
         let Some(configuration) = self.configuration() else {
             return Vec::new();
         };
-        let versions = models(&configuration).filter_map(|(service, model)| {
-            let is_released = self.newest_named(model).is_some();
+        let versions = configured_models(&configuration).filter_map(|(service, model)| {
+            let is_released = self.newest_release(model).is_some();
             if is_released || !self.lacks_weights(service, model) {
                 return None;
             }
-            let known = self.known_weights(service, model);
+            let known = self.known_versions(service, model);
             let version = known.wanted()?;
             Some(message::Unnamed {
                 model: model.to_owned(),
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -200,10 +200,10 @@
     let mut last_kind = None;
     loop {
         let has_copy = state.mirror.borrow().at() > Revision::default();
-        let step = watching.next(&state.neighbours(), has_copy, clock::now());
+        let step = watching.next(&state.neighbour_addresses(), has_copy, clock::now());
         let kind = std::mem::discriminant(&step);
         if last_kind.replace(kind) != Some(kind) && matches!(step, Step::Store | Step::Probe) {
-            tracing::info!(?step, has_copy, age = ?state.contact_age(), "store is asked by this gateway");
+            tracing::info!(?step, has_copy, age = ?state.contact_age_millis(), "store is asked by this gateway");
         }
         match step {
             Step::Store => poll_store(&state, &mut polling).await,
@@ -226,7 +226,7 @@
                         clock::pause(POLL_PAUSE_MILLIS).await;
                     }
                     Err(failure) => {
-                        tracing::info!(watcher = %member, ?failure, age = ?state.contact_age(), "poll of a watching gateway failed; trying another one");
+                        tracing::info!(watcher = %member, ?failure, age = ?state.contact_age_millis(), "poll of a watching gateway failed; trying another one");
                         watching.note_failure(member, failure, clock::now());
                     }
                 }
@@ -253,13 +253,13 @@
             polling.consecutive_failures = 0;
             // A watch that missed changes, or a pending full read, does not prove freshness.
             if let Some(fresh_at) = fresh_at {
-                state.note_contact(0);
+                state.record_contact(0);
                 state.record_fresh(fresh_at);
                 clock::pause(WATCH_PAUSE_MILLIS).await;
             }
         }
         Err(error) => {
-            state.note_store_failure(&error);
+            state.record_store_failure(&error);
             polling.back_off().await;
         }
     }
@@ -277,13 +277,13 @@
     watching.note_probe(is_ahead, elapsed_millis, clock::now());
     match is_current {
         Ok(true) => {
-            state.note_contact(0);
+            state.record_contact(0);
             state.record_fresh(requested);
             clock::pause(WATCH_PAUSE_MILLIS).await;
         }
         Ok(false) => {}
         Err(error) => {
-            state.note_store_failure(&error);
+            state.record_store_failure(&error);
             polling.back_off().await;
         }
     }
@@ -310,7 +310,7 @@
         .await?;
     let copy = std::mem::take(&mut polling.copy);
     state.record_store_response(copy.newest_at);
-    state.replace(copy.items, copy.at);
+    state.replace_mirror(copy.items, copy.at);
     polling.needs_copy = false;
     polling.has_missed_changes = false;
     Ok(started)
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -153,7 +153,7 @@
 
     /// Dismisses the crashes of held requests whose fingerprints begin with `prefix`; returns the
     /// number of requests.
-    pub fn release(&self, prefix: &str) -> usize {
+    pub fn dismiss_held(&self, prefix: &str) -> usize {
         let mut suspects = self.suspect_state.suspects.borrow_mut();
         let held = suspects
             .held()
@@ -178,7 +178,7 @@
 
     /// Held requests, one per line: fingerprint, number of crashed engines, and ids of those that
     /// are known here.
-    pub fn held_text(&self) -> String {
+    pub fn held_requests_text(&self) -> String {
         let suspects = self.suspect_state.suspects.borrow();
         let line = |(mark, case): (Mark, &Case)| {
             let engines = self.engine_ids(case).join(",");
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -58,7 +58,7 @@
         clock::pause(POLL_INTERVAL_MILLIS).await;
         let requested = state.carrier.requested.borrow_mut().take();
         let released = state
-            .named()
+            .newest_releases()
             .into_iter()
             .filter(|model_version| is_needed(&state, model_version));
         let wanted: Vec<Named> = requested.into_iter().chain(released).collect();
@@ -152,7 +152,7 @@
 
 fn is_obtainable(state: &State, model_version: &Named) -> bool {
     state
-        .known_origin(&model_version.model)
+        .available_versions(&model_version.model)
         .may_be_had(model_version.version)
 }
 
@@ -188,7 +188,7 @@
         address: state.settings.peers,
         zone: state.settings.zone.clone(),
     };
-    let mut known = state.living_gateways();
+    let mut known = state.alive_gateways();
     known.insert(own);
     weights::relay_set(known.into_iter(), &state.settings.regions, version)
 }
@@ -208,7 +208,7 @@
     };
     let mut chosen: Vec<&Engine> = listed.iter().copied().filter(serves).collect();
     if chosen.is_empty() {
-        if !state.may_be_held(model_version, HOLDER_DELAY_MILLIS) {
+        if !state.may_be_distributed(model_version, HOLDER_DELAY_MILLIS) {
             return Vec::new();
         }
         chosen = listed;
--- a/crates/gingerpier_gateway/src/weights/search.rs
+++ b/crates/gingerpier_gateway/src/weights/search.rs
@@ -5,7 +5,7 @@
     crate::{
         client::Client,
         clock,
-        state::{State, models},
+        state::{State, configured_models},
     },
     gingerpier_base::order,
     gingerpier_serving::{
@@ -31,8 +31,8 @@
         let Some(origin) = configuration.origin() else {
             continue;
         };
-        for (service, model) in models(&configuration) {
-            if state.newest_named(model).is_some() {
+        for (service, model) in configured_models(&configuration) {
+            if state.newest_release(model).is_some() {
                 searches.remove(model);
                 continue;
             }
@@ -50,7 +50,7 @@
             match manifest::fetch_from_origin(&state.carrier, &mut client, &newest).await {
                 Some(found) => {
                     search.note_found(clock::now());
-                    state.note_found(found);
+                    state.record_origin_version(found);
                 }
                 None => {
                     search.note_failure(clock::now(), fastrand::u64(..));
@@ -62,7 +62,7 @@
 }
 
 fn observe(state: &State, service: &str, model: &str) -> Seen {
-    let known = state.known_weights(service, model);
+    let known = state.known_versions(service, model);
     let fetch_status = state.carrier.fetch_status(model);
     Seen {
         is_lacking: state.lacks_weights(service, model),
