--- a/crates/gingerpier_gateway/src/members.rs
+++ b/crates/gingerpier_gateway/src/members.rs
@@ -4,7 +4,7 @@
     crate::{
         clock,
         message::{self, Datagram, Member, Names, Probe, ToldMember},
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     gingerpier_serving::{liveness::News, zones::Exchange},
@@ -77,7 +77,9 @@
 
 fn send(state: &State, socket: &UdpSocket, message: &Datagram, receiver: SocketAddr) {
     let bytes = message::encode(message);
-    state.metrics.note_message(Kind::Probe, bytes.len());
+    state
+        .metrics
+        .record_message(MessageKind::Probe, bytes.len());
     // A datagram that is not sent counts as lost; the probe is repeated.
     let _ = socket.try_send_to(&bytes, receiver);
 }
--- a/crates/gingerpier_gateway/src/metrics.rs
+++ b/crates/gingerpier_gateway/src/metrics.rs
@@ -72,7 +72,7 @@
 
 /// Kind of a message between processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Kind {
+pub enum MessageKind {
     /// Subscription of a gateway at a loader.
     Subscription,
     /// Load report of a loader.
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct MessageLabels {
     /// Kind of the messages.
-    pub kind: Kind,
+    pub kind: MessageKind,
 }
 
 /// Metrics of one process.
@@ -203,7 +203,7 @@
 
 impl Metrics {
     /// Counts a message of `bytes` bytes.
-    pub fn note_message(&self, kind: Kind, bytes: usize) {
+    pub fn record_message(&self, kind: MessageKind, bytes: usize) {
         let labels = MessageLabels { kind };
         self.messages.get_or_create(&labels).inc();
         self.message_bytes
--- a/crates/gingerpier_gateway/src/relay.rs
+++ b/crates/gingerpier_gateway/src/relay.rs
@@ -8,7 +8,7 @@
         client::{Client, MAX_ANSWER_BYTES},
         clock, compression,
         message::{self, SharedItem, Snapshot},
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     futures_util::future::join_all,
@@ -135,7 +135,7 @@
     );
     state
         .metrics
-        .note_message(Kind::Snapshot, encoded.bytes.len());
+        .record_message(MessageKind::Snapshot, encoded.bytes.len());
     let ages = Ages {
         last_contact: state.silence_millis(),
         last_current: state.mirror_age_millis(),
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -4,7 +4,7 @@
     crate::{
         clock, discovery, members,
         message::{self, Datagram, Load, Member, Subscribe},
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
         suspects, zones,
     },
@@ -40,7 +40,7 @@
         for loader in &loaders {
             state
                 .metrics
-                .note_message(Kind::Subscription, message.len());
+                .record_message(MessageKind::Subscription, message.len());
             // A datagram that is not sent counts as lost; the next subscription replaces it.
             let _ = socket.try_send_to(&message, *loader);
         }
@@ -130,7 +130,7 @@
         state.zones.borrow_mut().liveness().note_heard(clock::now());
         match message::decode(&bytes[..length]) {
             Some(Datagram::Load(load)) => {
-                state.metrics.note_message(Kind::Report, length);
+                state.metrics.record_message(MessageKind::Report, length);
                 apply_report(&state, &load);
             }
             Some(Datagram::Digest(digest)) => zones::receive_digest(&state, &socket, digest),
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -12,7 +12,7 @@
         message::{
             self, Datagram, Suspects as Message, ToldCleared, ToldEnd, ToldPardon, ToldTrial,
         },
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     gingerpier_base::{Instant, order},
@@ -327,7 +327,9 @@
 
 fn send(state: &State, socket: &UdpSocket, message: &Message, receiver: SocketAddr) {
     let bytes = message::encode(&Datagram::Suspects(message.clone()));
-    state.metrics.note_message(Kind::Suspects, bytes.len());
+    state
+        .metrics
+        .record_message(MessageKind::Suspects, bytes.len());
     // A datagram that is not sent counts as lost: it is repeated, or the next digest reveals the
     // gap.
     let _ = socket.try_send_to(&bytes, receiver);
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -4,7 +4,7 @@
     crate::{
         clock,
         message::{self, Datagram, Digest, DigestEngine, DigestHeld},
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     gingerpier_base::Instant,
@@ -46,7 +46,9 @@
         for part in parts(&state, turn, now) {
             let bytes = message::encode(&Datagram::Digest(part));
             for receiver in &receivers {
-                state.metrics.note_message(Kind::Digest, bytes.len());
+                state
+                    .metrics
+                    .record_message(MessageKind::Digest, bytes.len());
                 // A datagram that is not sent counts as lost; the next digest replaces it.
                 let _ = socket.try_send_to(&bytes, *receiver);
             }
@@ -83,7 +85,7 @@
     for neighbour in state.zones.borrow().neighbours() {
         state
             .metrics
-            .note_message(Kind::DigestPassedOn, bytes.len());
+            .record_message(MessageKind::DigestPassedOn, bytes.len());
         // A datagram that is not sent counts as lost; the next digest replaces it.
         let _ = socket.try_send_to(&bytes, neighbour);
     }
