--- a/crates/gingerpier_gateway/src/client.rs
+++ b/crates/gingerpier_gateway/src/client.rs
@@ -101,7 +101,7 @@
         let last = Cell::new(None);
         let exchange = self.exchange(call, &last);
         tokio::pin!(exchange);
-        let timeout_error = Error::Late {
+        let timeout_error = Error::Timeout {
             step: Phase::Exchange,
             peer,
         };
@@ -163,7 +163,7 @@
     ) -> Result<Bytes, Error> {
         let peer = self.peer;
         let step = Phase::Exchange;
-        let http_error = |what| Error::Http { step, peer, what };
+        let http_error = |cause| Error::Http { step, peer, cause };
         let framing = head.framing().map_err(http_error)?;
         if matches!(framing, Framing::Length(length) if length > self.most_bytes as u64) {
             return Err(http_error(gingerpier_http1::error::Error::BodyTooLong));
@@ -229,16 +229,16 @@
 ) -> Result<(Connection, Response), Error> {
     let mut connection = match idle {
         Some(connection) if connection.is_idle() => connection,
-        _ => Connection::connect(peer).await.map_err(|what| Error::Io {
+        _ => Connection::connect(peer).await.map_err(|cause| Error::Io {
             step: Phase::Connect,
             peer,
-            what,
+            cause,
         })?,
     };
     let step = Phase::Exchange;
     let written = connection.write(&request).await;
-    written.map_err(|what| Error::Io { step, peer, what })?;
+    written.map_err(|cause| Error::Io { step, peer, cause })?;
     let head = connection.response().await;
-    let head = head.map_err(|what| Error::Http { step, peer, what })?;
+    let head = head.map_err(|cause| Error::Http { step, peer, cause })?;
     Ok((connection, head))
 }
--- a/crates/gingerpier_gateway/src/error.rs
+++ b/crates/gingerpier_gateway/src/error.rs
@@ -20,41 +20,41 @@
     /// exchange request and response
     Exchange,
     /// parse the response
-    Read,
+    Parse,
 }
 
 /// Failed operation at a peer or at an own address.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// can't {step} at {peer}: {what}
+    /// can't {step} at {peer}: {cause}
     Io {
         /// Operation.
         step: Step,
         /// Peer, or own address of a listener.
         peer: SocketAddr,
         /// Cause.
-        what: std::io::Error,
+        cause: std::io::Error,
     },
-    /// can't {step} at {peer}: {what}
+    /// can't {step} at {peer}: {cause}
     Http {
         /// Operation.
         step: Step,
         /// Peer.
         peer: SocketAddr,
         /// Cause.
-        what: gingerpier_http1::error::Error,
+        cause: gingerpier_http1::error::Error,
     },
-    /// can't {step} at {peer}: {what}
-    Answer {
+    /// can't {step} at {peer}: {cause}
+    Response {
         /// Operation.
         step: Step,
         /// Peer.
         peer: SocketAddr,
         /// Cause.
-        what: dialect::Error,
+        cause: dialect::Error,
     },
     /// can't {step} at {peer}: timed out
-    Late {
+    Timeout {
         /// Operation.
         step: Step,
         /// Peer.
--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -41,14 +41,14 @@
 
 async fn listen(step: Step, peer: SocketAddr) -> Result<TcpListener, Error> {
     let listener = TcpListener::bind(peer).await;
-    listener.map_err(|what| Error::Io { step, peer, what })
+    listener.map_err(|cause| Error::Io { step, peer, cause })
 }
 
 fn signal_stream(kind: SignalKind, peer: SocketAddr) -> Result<Signal, Error> {
-    signal(kind).map_err(|what| Error::Io {
+    signal(kind).map_err(|cause| Error::Io {
         step: Step::Signals,
         peer,
-        what,
+        cause,
     })
 }
 
@@ -65,10 +65,10 @@
     let peer_address = settings.peers;
     let socket = UdpSocket::bind(peer_address)
         .await
-        .map_err(|what| Error::Io {
+        .map_err(|cause| Error::Io {
             step: Step::ListenPeers,
             peer: peer_address,
-            what,
+            cause,
         })?;
     let chunk_listener = listen(Step::ListenPeers, peer_address).await?;
     let mut terminate = signal_stream(SignalKind::terminate(), settings.callers)?;
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -328,7 +328,7 @@
 pub async fn run(settings: Settings, dialect: &'static dyn Dialect) -> Result<(), Error> {
     let lines = log::start();
     let peer = settings.peers;
-    let bind_error = |step| move |what| Error::Io { step, peer, what };
+    let bind_error = |step| move |cause| Error::Io { step, peer, cause };
     let listener = TcpListener::bind(peer).await;
     let listener = listener.map_err(bind_error(Step::ListenPeers))?;
     let socket = UdpSocket::bind(peer).await;
--- a/crates/gingerpier_gateway/src/loader_configuration.rs
+++ b/crates/gingerpier_gateway/src/loader_configuration.rs
@@ -88,10 +88,10 @@
     let mut client = Client::new(gateway);
     let request = Call::get(PATH.to_owned());
     let response = client.call(&request, RESPONSE_TIMEOUT_MILLIS).await?;
-    let invalid = |what| Error::Answer {
-        step: Step::Read,
+    let invalid = |cause| Error::Response {
+        step: Step::Parse,
         peer: gateway,
-        what,
+        cause,
     };
     if response.head.status != 200 {
         return Err(invalid(dialect::Error::Status(response.head.status)));
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -142,10 +142,10 @@
 
 fn read_page(peer: SocketAddr, dialect: &dyn Dialect, response: &Whole) -> Result<Page, Error> {
     let page = dialect.read_list(response.head.status, &response.body);
-    page.map_err(|what| Error::Answer {
-        step: Operation::Read,
+    page.map_err(|cause| Error::Response {
+        step: Operation::Parse,
         peer,
-        what,
+        cause,
     })
 }
 
@@ -164,10 +164,10 @@
     let request = dialect.watch(scope, after, millis);
     let response = client.call(&request, millis + WATCH_SLACK_MILLIS).await?;
     let watched = dialect.read_watch(response.head.status, &response.body);
-    watched.map_err(|what| Error::Answer {
-        step: Operation::Read,
+    watched.map_err(|cause| Error::Response {
+        step: Operation::Parse,
         peer: client.peer(),
-        what,
+        cause,
     })
 }
 
@@ -331,7 +331,7 @@
     };
     let watched = watch(client, state.dialect, Scope::Everything, after, wait_millis).await;
     client.most_bytes = MAX_ANSWER_BYTES;
-    let is_too_long = |error: &Error| matches!(error, Error::Http { what, .. } if *what == gingerpier_http1::error::Error::BodyTooLong);
+    let is_too_long = |error: &Error| matches!(error, Error::Http { cause, .. } if *cause == gingerpier_http1::error::Error::BodyTooLong);
     if watched.as_ref().is_err_and(is_too_long) {
         tracing::info!(
             after = after.0,
--- a/crates/gingerpier_gateway/src/weights/request.rs
+++ b/crates/gingerpier_gateway/src/weights/request.rs
@@ -215,26 +215,29 @@
         let step = Step::Connect;
         let deadline = clock::now().after_millis(CONNECT_TIMEOUT_MILLIS);
         let connected = clock::before(deadline, Connection::connect(peer)).await;
-        let connected = connected.ok_or(Error::Late { step, peer })?;
-        let connection = connected.map_err(|what| Error::Io { step, peer, what })?;
+        let connected = connected.ok_or(Error::Timeout { step, peer })?;
+        let connection = connected.map_err(|cause| Error::Io { step, peer, cause })?;
         connection.use_small_buffers();
         Ok(connection)
     }
 
     async fn exchange(&self, call: &Call) -> Result<(Response, Bytes), Error> {
         let peer = self.address;
-        let http_error = |what| Error::Http {
+        let http_error = |cause| Error::Http {
             step: Step::Exchange,
             peer,
-            what,
+            cause,
         };
         let mut connection = self.connect().await?;
         let request = client::encode(call, peer);
-        connection.write(&request).await.map_err(|what| Error::Io {
-            step: Step::Exchange,
-            peer,
-            what,
-        })?;
+        connection
+            .write(&request)
+            .await
+            .map_err(|cause| Error::Io {
+                step: Step::Exchange,
+                peer,
+                cause,
+            })?;
         let head = connection.response().await.map_err(http_error)?;
         let started = clock::now();
         let mut decoder = Decoder::new(head.framing().map_err(http_error)?);
--- a/crates/gingerpier_gateway/tests/client.rs
+++ b/crates/gingerpier_gateway/tests/client.rs
@@ -74,7 +74,7 @@
     });
     let started = Instant::now();
     let error = fetch(address).expect_err("the request times out");
-    assert!(matches!(error, Error::Late { .. }), "{error}");
+    assert!(matches!(error, Error::Timeout { .. }), "{error}");
     assert!(started.elapsed() < Duration::from_secs(5));
 }
 
@@ -82,7 +82,7 @@
 fn a_response_that_does_not_begin_times_out() {
     let address = serve(|_| sleep(Duration::from_secs(8)));
     let error = fetch(address).expect_err("the request times out");
-    assert!(matches!(error, Error::Late { .. }), "{error}");
+    assert!(matches!(error, Error::Timeout { .. }), "{error}");
 }
 
 /// Number of probes during a silent response, each on a connection that is closed at once.
@@ -103,7 +103,7 @@
         let mut client = Client::new(address).patient(call());
         client.call(&call(), BEGIN_MILLIS).await
     });
-    assert!(matches!(result, Err(Error::Late { .. })));
+    assert!(matches!(result, Err(Error::Timeout { .. })));
     probe_count.load(Ordering::Relaxed)
 }
 
