--- a/crates/gingerpier_gateway/src/discovery.rs
+++ b/crates/gingerpier_gateway/src/discovery.rs
@@ -96,7 +96,7 @@
     let mut client = store::client(state.settings.store, state.dialect);
     while is_isolated(&state) {
         state.metrics.store_calls.inc();
-        match store::read_all(&mut client, state.dialect, Scope::Engines, true).await {
+        match store::read_full(&mut client, state.dialect, Scope::Engines, true).await {
             Ok(copy) => {
                 let records = copy
                     .items
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -163,7 +163,7 @@
         }
     }
     let mut client = store::client(loader.settings.store, loader.dialect);
-    match store::read_all(&mut client, loader.dialect, Scope::Engines, true).await {
+    match store::read_full(&mut client, loader.dialect, Scope::Engines, true).await {
         Ok(copy) => {
             let mut fleet = Fleet::default();
             loader.set_fleet_services(&mut fleet);
@@ -183,8 +183,8 @@
 }
 
 async fn read_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<(), Error> {
-    let copy = store::read_all(client, loader.dialect, scope, false).await?;
-    apply_items(loader, &copy.items, copy.at);
+    let copy = store::read_full(client, loader.dialect, scope, false).await?;
+    apply_items(loader, &copy.items, copy.revision);
     Ok(())
 }
 
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -61,19 +61,19 @@
 
 /// Copy of the store, which may be partially read.
 #[derive(Debug, Default)]
-pub struct Copy {
+pub struct FullCopy {
     /// Items that were read.
     pub items: Vec<Item>,
     /// Revision of the first page. Pages are not one snapshot, so a watch has to continue from
     /// here.
-    pub at: Revision,
+    pub revision: Revision,
     /// Revision of the last page.
-    pub newest_at: Revision,
+    pub last_page_revision: Revision,
     /// When the first page was requested.
     started: Option<Instant>,
 }
 
-impl Copy {
+impl FullCopy {
     /// Reads the missing pages; returns when the first page was requested. Pages are kept on an
     /// error, so the next call resumes after them.
     ///
@@ -101,9 +101,9 @@
             let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
             let page = read_page(client.peer(), dialect, &response)?;
             if is_first_page {
-                self.at = page.at;
+                self.revision = page.at;
             }
-            self.newest_at = page.at;
+            self.last_page_revision = page.at;
             let items = page.items.into_iter();
             self.items.extend(items.map(|item| slim(dialect, item)));
             if !page.has_more {
@@ -118,13 +118,13 @@
 /// # Errors
 ///
 /// Fails if a page can't be read.
-pub async fn read_all(
+pub async fn read_full(
     client: &mut Client,
     dialect: &dyn Dialect,
     scope: Scope,
     stale: bool,
-) -> Result<Copy, Error> {
-    let mut copy = Copy::default();
+) -> Result<FullCopy, Error> {
+    let mut copy = FullCopy::default();
     copy.read(client, dialect, scope, stale).await?;
     Ok(copy)
 }
@@ -175,7 +175,7 @@
 struct Polling {
     client: Client,
     /// Partial copy.
-    copy: Copy,
+    copy: FullCopy,
     /// True if a watch is not enough and a full copy is needed.
     needs_copy: bool,
     /// True if the last watch returned nothing although the store had changed.
@@ -191,7 +191,7 @@
     let client = Client::noting(state.settings.store, state.store_received_at.clone());
     let mut polling = Polling {
         client: client.patient(small_request(state.dialect)),
-        copy: Copy::default(),
+        copy: FullCopy::default(),
         needs_copy: false,
         has_missed_changes: false,
         consecutive_failures: 0,
@@ -309,8 +309,8 @@
         .read(client, state.dialect, Scope::Everything, false)
         .await?;
     let copy = std::mem::take(&mut polling.copy);
-    state.record_store_response(copy.newest_at);
-    state.replace_mirror(copy.items, copy.at);
+    state.record_store_response(copy.last_page_revision);
+    state.replace_mirror(copy.items, copy.revision);
     polling.needs_copy = false;
     polling.has_missed_changes = false;
     Ok(started)
