--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -141,7 +141,7 @@
 }
 
 async fn query_gateway(loader: &Loader, gateway: SocketAddr) -> Result<(), Error> {
-    let response = loader_configuration::ask(gateway).await?;
+    let response = loader_configuration::fetch(gateway).await?;
     loader.update_services(response.services);
     // Kept apart from the gateway's subscriptions, which report more precise ages.
     let source = Teller(!order::hash(&gateway));
--- a/crates/gingerpier_gateway/src/loader_configuration.rs
+++ b/crates/gingerpier_gateway/src/loader_configuration.rs
@@ -61,7 +61,7 @@
 }
 
 /// Builds the response to a loader's request.
-pub fn reply(carrier: &Carrier) -> Vec<u8> {
+pub fn respond(carrier: &Carrier) -> Vec<u8> {
     match carrier.figures.borrow().as_ref() {
         Some(figures) => Message::response(200).body(figures),
         None => Message::response(404).body(b""),
@@ -84,7 +84,7 @@
 ///
 /// Fails if the gateway does not respond in time, has no information yet or sends an invalid
 /// message.
-pub async fn ask(gateway: SocketAddr) -> Result<LoaderConfiguration, Error> {
+pub async fn fetch(gateway: SocketAddr) -> Result<LoaderConfiguration, Error> {
     let mut client = Client::new(gateway);
     let request = Call::get(PATH.to_owned());
     let response = client.call(&request, RESPONSE_TIMEOUT_MILLIS).await?;
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -133,7 +133,7 @@
 async fn build_response(carrier: &Carrier, request: &Request) -> Vec<u8> {
     let target = std::str::from_utf8(request.target()).unwrap_or_default();
     if target == loader_configuration::PATH {
-        return loader_configuration::reply(carrier);
+        return loader_configuration::respond(carrier);
     }
     let Some(peer_request) = PeerRequest::parse(target) else {
         return Message::response(404).body(b"");
