--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -12,12 +12,12 @@
 use {
     crate::{
         clock,
-        items::{Reader, slim},
+        items::{Parser, strip_unused_value},
         metrics::Metrics,
         pool::Pool,
         snapshots::Snapshots,
         suspects::SuspectState,
-        weights::{Carrier, GatewayPlace},
+        weights::{Distributor, GatewayLocation},
     },
     gingerpier_base::Instant,
     gingerpier_serving::{
@@ -52,7 +52,7 @@
     /// Protocol of the deployment platform.
     pub dialect: &'static dyn Dialect,
     /// Parser of the store's items.
-    pub item_parser: Reader,
+    pub item_parser: Parser,
     /// Local copy of the store.
     pub mirror: RefCell<Mirror>,
     /// Known engines and their load.
@@ -76,7 +76,7 @@
     /// Requests that are suspected of crashing engines.
     pub suspect_state: SuspectState,
     /// Distribution of weights through this gateway.
-    pub carrier: Rc<Carrier>,
+    pub distributor: Rc<Distributor>,
     /// True once a termination signal arrived.
     pub is_stopping: Cell<bool>,
     /// True once the stopping gateway refuses new requests.
@@ -119,7 +119,7 @@
         Self {
             settings,
             dialect,
-            item_parser: Reader::new(dialect),
+            item_parser: Parser::new(dialect),
             mirror: RefCell::default(),
             fleet: RefCell::new(Fleet::of(regions.clone())),
             retry_budgets: RefCell::default(),
@@ -131,7 +131,7 @@
             bootstrap_loaders: RefCell::default(),
             snapshots: Snapshots::default(),
             suspect_state: SuspectState::default(),
-            carrier: Rc::new(Carrier::new(dialect)),
+            distributor: Rc::new(Distributor::new(dialect)),
             is_stopping: Cell::new(false),
             is_closed: Cell::new(false),
             closing: Notify::new(),
@@ -187,7 +187,9 @@
 
     fn slim(&self, items: Changes) -> Changes {
         let items = items.into_iter();
-        items.map(|item| slim(self.dialect, item)).collect()
+        items
+            .map(|item| strip_unused_value(self.dialect, item))
+            .collect()
     }
 
     /// Replaces the mirror with a full copy of the store at revision `at`.
@@ -209,7 +211,7 @@
     }
 
     fn handle_item(&self, item: &Item) {
-        match self.item_parser.read(item) {
+        match self.item_parser.parse(item) {
             Some(Fact::Configuration(configuration)) => self.apply_configuration(*configuration),
             Some(Fact::Engine(record)) => self.list_engine(*record, item.revision),
             Some(Fact::Weights(release)) => self.record_release(&release),
@@ -322,10 +324,10 @@
     }
 
     /// Gateways of all zones that are alive.
-    pub fn alive_gateways(&self) -> BTreeSet<GatewayPlace> {
+    pub fn alive_gateways(&self) -> BTreeSet<GatewayLocation> {
         let zones = self.zones.borrow();
         let alive = zones.living(clock::now());
-        let location = |(zone, address): (&str, SocketAddr)| GatewayPlace {
+        let location = |(zone, address): (&str, SocketAddr)| GatewayLocation {
             address,
             zone: zone.to_owned(),
         };
