--- a/crates/gingerpier_gateway/src/lib.rs
+++ b/crates/gingerpier_gateway/src/lib.rs
@@ -18,25 +18,25 @@
 //! # }
 //! ```
 
-pub mod callers;
 pub mod client;
 pub mod compression;
 pub mod discovery;
 pub mod error;
-pub mod figures;
 pub mod gateway;
 pub mod items;
 pub mod loader;
+pub mod loader_configuration;
 pub mod log;
 mod members;
 pub mod message;
 pub mod metrics;
 pub mod pool;
-pub mod relay;
+pub mod proxy;
 pub mod reports;
 pub mod snapshots;
 pub mod state;
 pub mod store;
+pub mod store_sharing;
 pub mod suspects;
 pub mod weights;
 pub mod zones;
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -12,9 +12,9 @@
     crate::{
         clock,
         error::{Error, Step},
-        items::Reader,
+        items::Parser,
         log, message,
-        weights::{Carrier, GatewayPlace, peers},
+        weights::{Distributor, GatewayLocation, peers},
     },
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
@@ -49,7 +49,7 @@
     /// Availability zone.
     pub zone: String,
     /// Timestamp of its last subscription message, by its own clock.
-    pub stamp: u64,
+    pub timestamp_millis: u64,
     /// Time of its last subscription message.
     pub last_seen: Instant,
     /// True once the gateway list was sent to it.
@@ -59,7 +59,7 @@
     /// Digest of the engines and origins in that configuration.
     pub weights_digest: u64,
     /// Unreleased versions that it reports as available.
-    pub unnamed: Vec<message::Unnamed>,
+    pub unreleased: Vec<message::UnreleasedVersion>,
 }
 
 /// A machine with an engine of the same service.
@@ -87,9 +87,9 @@
     /// Platform protocol.
     pub dialect: &'static dyn Dialect,
     /// Parser of store items.
-    pub items: Reader,
+    pub item_parser: Parser,
     /// Chunk cache and transfers.
-    pub carrier: Rc<Carrier>,
+    pub distributor: Rc<Distributor>,
     /// Subscribed gateways by address.
     pub subscribers: RefCell<BTreeMap<SocketAddr, Subscriber>>,
     /// Last report of the engine; none while it doesn't respond.
@@ -117,13 +117,13 @@
     /// Creates a loader without any data.
     pub fn new(settings: Settings, dialect: &'static dyn Dialect) -> Self {
         let link = settings.link_bits_per_second;
-        let carrier = Rc::new(Carrier::for_engine(dialect, settings.engine, link));
+        let distributor = Rc::new(Distributor::for_engine(dialect, settings.engine, link));
         Self {
             seeds: Self::seeds(&settings),
             settings,
             dialect,
-            items: Reader::new(dialect),
-            carrier,
+            item_parser: Parser::new(dialect),
+            distributor,
             engine_lock: Mutex::new(()),
             subscribers: RefCell::default(),
             report: RefCell::default(),
@@ -226,9 +226,9 @@
     }
 
     /// Subscribed gateways.
-    pub fn gateways(&self) -> Vec<GatewayPlace> {
+    pub fn gateways(&self) -> Vec<GatewayLocation> {
         let subscribers = self.subscribers.borrow();
-        let location = |(address, subscriber): (&SocketAddr, &Subscriber)| GatewayPlace {
+        let location = |(address, subscriber): (&SocketAddr, &Subscriber)| GatewayLocation {
             address: *address,
             zone: subscriber.zone.clone(),
         };
@@ -287,13 +287,13 @@
         Heard {
             gateways: informed_gateways,
             seeds: &self.seeds,
-            near_count: self.near_gateway_count(),
+            near_count: self.zone_gateway_count(),
             knowledge: self.knowledge(),
         }
     }
 
     /// Number of subscribed gateways in this zone.
-    pub fn near_gateway_count(&self) -> usize {
+    pub fn zone_gateway_count(&self) -> usize {
         let subscribers = self.subscribers.borrow();
         let values = subscribers.values();
         values
@@ -328,7 +328,7 @@
 pub async fn run(settings: Settings, dialect: &'static dyn Dialect) -> Result<(), Error> {
     let lines = log::start();
     let peer = settings.peers;
-    let bind_error = |step| move |what| Error::Io { step, peer, what };
+    let bind_error = |step| move |cause| Error::Io { step, peer, cause };
     let listener = TcpListener::bind(peer).await;
     let listener = listener.map_err(bind_error(Step::ListenPeers))?;
     let socket = UdpSocket::bind(peer).await;
@@ -341,7 +341,7 @@
     let loader = Rc::new(Loader::new(settings, dialect));
     actix_rt::spawn(clock::watch());
     actix_rt::spawn(sync::run(loader.clone()));
-    actix_rt::spawn(peers::serve(loader.carrier.clone(), listener));
+    actix_rt::spawn(peers::serve(loader.distributor.clone(), listener));
     actix_rt::spawn(report::receive_subscriptions(
         loader.clone(),
         socket.clone(),
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -3,7 +3,7 @@
 
 use {
     super::Loader,
-    crate::{client::Client, clock, error::Error, figures, store},
+    crate::{client::Client, clock, error::Error, loader_configuration, store},
     gingerpier_base::order,
     gingerpier_serving::{
         asking::{Asking, Knowledge, Source, Step},
@@ -141,7 +141,7 @@
 }
 
 async fn query_gateway(loader: &Loader, gateway: SocketAddr) -> Result<(), Error> {
-    let response = figures::ask(gateway).await?;
+    let response = loader_configuration::fetch(gateway).await?;
     loader.update_services(response.services);
     // Kept apart from the gateway's subscriptions, which report more precise ages.
     let source = Teller(!order::hash(&gateway));
@@ -163,7 +163,7 @@
         }
     }
     let mut client = store::client(loader.settings.store, loader.dialect);
-    match store::read_all(&mut client, loader.dialect, Scope::Engines, true).await {
+    match store::read_full(&mut client, loader.dialect, Scope::Engines, true).await {
         Ok(copy) => {
             let mut fleet = Fleet::default();
             loader.set_fleet_services(&mut fleet);
@@ -177,14 +177,14 @@
 }
 
 fn list_engine(loader: &Loader, fleet: &mut Fleet, item: &Item) {
-    if let Some(Fact::Engine(record)) = loader.items.read(item) {
+    if let Some(Fact::Engine(record)) = loader.item_parser.parse(item) {
         fleet.list(*record, item.revision);
     }
 }
 
 async fn read_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<(), Error> {
-    let copy = store::read_all(client, loader.dialect, scope, false).await?;
-    apply_items(loader, &copy.items, copy.at);
+    let copy = store::read_full(client, loader.dialect, scope, false).await?;
+    apply_items(loader, &copy.items, copy.revision);
     Ok(())
 }
 
@@ -202,7 +202,7 @@
 
 fn apply_items(loader: &Loader, items: &[Item], at: Revision) {
     for item in items {
-        match loader.items.read(item) {
+        match loader.item_parser.parse(item) {
             Some(Fact::Configuration(configuration)) => {
                 loader.update_services(configuration.services_part().for_loaders());
             }
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -34,12 +34,12 @@
     }
 
     /// Records a release that the gateway `source` reported.
-    pub fn record_peer_release(&self, release: message::Naming, source: Teller) {
+    pub fn record_peer_release(&self, release: message::ReportedRelease, source: Teller) {
         let model_version = Named {
             model: release.model,
             version: Version(release.version),
         };
-        self.record_release(&model_version, source, release.age);
+        self.record_release(&model_version, source, release.age_millis);
     }
 
     /// Known releases of `model`.
@@ -112,7 +112,7 @@
         let subscribers = self.subscribers.borrow();
         let reported = subscribers
             .values()
-            .flat_map(|subscriber| &subscriber.unnamed);
+            .flat_map(|subscriber| &subscriber.unreleased);
         let of_model =
             reported.filter(|report| report.model == model && report.is_found == is_found);
         of_model.map(|report| Version(report.version)).max()
--- a/crates/gingerpier_gateway/src/members.rs
+++ b/crates/gingerpier_gateway/src/members.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         clock,
-        message::{self, Datagram, Member, Names, Probe, ToldMember},
-        metrics::Kind,
+        message::{self, Datagram, GatewayList, Member, MemberUpdate, Probe},
+        metrics::MessageKind,
         state::State,
     },
     gingerpier_serving::{liveness::News, zones::Exchange},
@@ -40,7 +40,7 @@
 pub fn respond(state: &State, socket: &UdpSocket, from: SocketAddr, probe: &Probe) {
     let mut zones = state.zones.borrow_mut();
     apply_updates(&mut zones, from, probe);
-    let response = Datagram::Names(Names {
+    let response = Datagram::GatewayList(GatewayList {
         gateways: Vec::new(),
         probe: Some(probe_for(&mut zones, from)),
     });
@@ -50,10 +50,10 @@
 /// Applies membership updates of `from`, a gateway of the own zone.
 pub fn apply_updates(zones: &mut Exchange, from: SocketAddr, probe: &Probe) {
     let now = clock::now();
-    let updates = probe.news.iter().map(|update| News {
+    let updates = probe.updates.iter().map(|update| News {
         member: update.address,
         incarnation: update.incarnation,
-        is_gone: update.is_gone,
+        is_gone: update.is_dead,
     });
     let updates: Vec<News> = updates.collect();
     let liveness = zones.liveness();
@@ -64,20 +64,22 @@
 fn probe_for(zones: &mut Exchange, receiver: SocketAddr) -> Probe {
     let liveness = zones.liveness();
     let updates = liveness.news_for(receiver).into_iter();
-    let updates = updates.map(|update| ToldMember {
+    let updates = updates.map(|update| MemberUpdate {
         address: update.member,
         incarnation: update.incarnation,
-        is_gone: update.is_gone,
+        is_dead: update.is_gone,
     });
     Probe {
         incarnation: liveness.incarnation(),
-        news: updates.collect(),
+        updates: updates.collect(),
     }
 }
 
 fn send(state: &State, socket: &UdpSocket, message: &Datagram, receiver: SocketAddr) {
     let bytes = message::encode(message);
-    state.metrics.note_message(Kind::Probe, bytes.len());
+    state
+        .metrics
+        .record_message(MessageKind::Probe, bytes.len());
     // A datagram that is not sent counts as lost; the probe is repeated.
     let _ = socket.try_send_to(&bytes, receiver);
 }
--- a/crates/gingerpier_gateway/src/message/mod.rs
+++ b/crates/gingerpier_gateway/src/message/mod.rs
@@ -1,13 +1,16 @@
 //! Messages between gateways and loaders, encoded in CBOR with numbered fields.
 
-mod figures;
+mod configuration;
 mod snapshot;
 mod suspects;
 
 pub use {
-    figures::{EngineFigures, Figures, OriginFigures, ServiceFigures, ToldEngine, ToldService},
-    snapshot::{SharedItem, Snapshot},
-    suspects::{Suspects, ToldCleared, ToldEnd, ToldPardon, ToldTrial},
+    configuration::{
+        ConfigurationPart, EngineEntry, EngineParameters, OriginParameters, ServiceEntry,
+        ServiceParameters,
+    },
+    snapshot::{Snapshot, StoreItem},
+    suspects::{CompletionUpdate, CrashUpdate, DismissalUpdate, Suspects, TrialUpdate},
 };
 use {
     gingerpier_serving::report::{Born, Held, Report, Version},
@@ -18,7 +21,7 @@
 /// Loaded weights of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Weights {
+pub struct LoadedVersion {
     /// Model name.
     #[n(0)]
     pub model: String,
@@ -30,7 +33,7 @@
 /// A released version of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Naming {
+pub struct ReportedRelease {
     /// Model name.
     #[n(0)]
     pub model: String,
@@ -39,13 +42,13 @@
     pub version: u64,
     /// Milliseconds since the earliest possible time of the release.
     #[cbor(n(2), default)]
-    pub age: u64,
+    pub age_millis: u64,
 }
 
 /// An available version of a model without a release.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Unnamed {
+pub struct UnreleasedVersion {
     /// Model name.
     #[n(0)]
     pub model: String,
@@ -66,10 +69,10 @@
     pub zone: String,
     /// Releases known to the gateway.
     #[n(1)]
-    pub named: Vec<Naming>,
+    pub releases: Vec<ReportedRelease>,
     /// Send time in milliseconds of the gateway's own clock.
     #[cbor(n(2), default)]
-    pub stamp: u64,
+    pub timestamp_millis: u64,
     /// Configuration version known to the gateway; 0 for none.
     #[cbor(n(3), default)]
     pub configuration: u64,
@@ -78,7 +81,7 @@
     pub weights_digest: u64,
     /// Available versions of models without a release.
     #[cbor(n(5), default)]
-    pub unnamed: Vec<Unnamed>,
+    pub unreleased: Vec<UnreleasedVersion>,
 }
 
 /// A gateway.
@@ -105,12 +108,12 @@
     pub incarnation: u64,
     /// Membership updates of the zone.
     #[n(1)]
-    pub news: Vec<ToldMember>,
+    pub updates: Vec<MemberUpdate>,
 }
 
 /// Membership update of one gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldMember {
+pub struct MemberUpdate {
     /// Gateway address.
     #[n(0)]
     pub address: SocketAddr,
@@ -119,7 +122,7 @@
     pub incarnation: u64,
     /// True if the gateway is dead.
     #[n(2)]
-    pub is_gone: bool,
+    pub is_dead: bool,
 }
 
 /// State of an engine, reported by its loader.
@@ -131,7 +134,7 @@
     pub engine: String,
     /// Loaded weights.
     #[n(1)]
-    pub held: Vec<Weights>,
+    pub loaded: Vec<LoadedVersion>,
     /// True while the engine carries out an order or is about to receive one.
     #[n(2)]
     pub is_busy: bool,
@@ -155,18 +158,18 @@
     pub gateways: Vec<Member>,
     /// Timestamp of the recipient's last subscription; 0 for none.
     #[cbor(n(9), default)]
-    pub echo: u64,
+    pub echoed_timestamp_millis: u64,
     /// Estimate of admitted prompt tokens that aren't read yet.
     #[cbor(n(10), default)]
     pub unread_tokens: u64,
     /// Start time of the engine in Unix milliseconds; 0 if unknown.
     #[cbor(n(11), default)]
-    pub born: u64,
+    pub start_time_millis: u64,
 }
 
 /// Loaded weights of an engine in a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct DigestHeld {
+pub struct IndexedVersion {
     /// Index into the models of the digest.
     #[n(0)]
     pub model: u32,
@@ -183,10 +186,10 @@
     pub address: SocketAddr,
     /// Milliseconds since its report.
     #[n(1)]
-    pub age: u32,
+    pub age_millis: u32,
     /// Loaded weights.
     #[n(2)]
-    pub held: Vec<DigestHeld>,
+    pub loaded: Vec<IndexedVersion>,
     /// True while the engine carries out an order or is about to receive one.
     #[n(3)]
     pub is_busy: bool,
@@ -202,9 +205,9 @@
     /// Slowdown in thousandths; 1,000 is normal speed.
     #[n(7)]
     pub pace: u32,
-    /// Start time, as 1 plus the milliseconds since `first_born`; 0 if unknown.
+    /// Start time, as 1 plus the milliseconds since `first_start_millis`; 0 if unknown.
     #[cbor(n(8), default)]
-    pub born_after: u64,
+    pub start_offset_millis: u64,
 }
 
 /// Part of the state of a zone, sent to gateways of other zones.
@@ -219,7 +222,7 @@
     pub sender: SocketAddr,
     /// Creation time in milliseconds of the sender's own clock.
     #[n(2)]
-    pub stamp: u64,
+    pub timestamp_millis: u64,
     /// Part number.
     #[n(3)]
     pub part: u32,
@@ -237,10 +240,10 @@
     pub gateways: Vec<SocketAddr>,
     /// True if a gateway of the recipient's zone forwarded it.
     #[n(8)]
-    pub is_passed_on: bool,
+    pub is_forwarded: bool,
     /// Earliest engine start time in Unix milliseconds; 0 if unknown.
     #[cbor(n(9), default)]
-    pub first_born: u64,
+    pub first_start_millis: u64,
 }
 
 /// Content of one datagram.
@@ -260,7 +263,7 @@
     Hello(#[n(0)] Member),
     /// From a gateway or a loader: known gateways.
     #[n(4)]
-    Names(#[n(0)] Names),
+    GatewayList(#[n(0)] GatewayList),
     /// From a gateway to another one.
     #[n(5)]
     Suspects(#[n(0)] Suspects),
@@ -269,7 +272,7 @@
 /// List of gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
-pub struct Names {
+pub struct GatewayList {
     /// Known gateways.
     #[n(0)]
     pub gateways: Vec<Member>,
@@ -278,26 +281,26 @@
     pub probe: Option<Probe>,
 }
 
-impl DigestHeld {
-    /// Encodes `held` and adds its model to `models`; none if `models` already has `max_models`
+impl IndexedVersion {
+    /// Encodes `loaded` and adds its model to `models`; none if `models` already has `max_models`
     /// others.
-    pub fn new(held: &Held, models: &mut Vec<String>, max_models: usize) -> Option<Self> {
-        let known = models.iter().position(|model| *model == held.model);
+    pub fn new(loaded: &Held, models: &mut Vec<String>, max_models: usize) -> Option<Self> {
+        let known = models.iter().position(|model| *model == loaded.model);
         if known.is_none() && models.len() >= max_models {
             return None;
         }
         let model = known.unwrap_or_else(|| {
-            models.push(held.model.clone());
+            models.push(loaded.model.clone());
             models.len() - 1
         });
         Some(Self {
             model: model as u32,
-            version: held.version.0,
+            version: loaded.version.0,
         })
     }
 
     /// Decodes the weights; none if the index is out of range.
-    pub fn held(&self, models: &[String]) -> Option<Held> {
+    pub fn decode(&self, models: &[String]) -> Option<Held> {
         Some(Held {
             model: models.get(self.model as usize)?.clone(),
             version: Version(self.version),
@@ -308,13 +311,13 @@
 impl Load {
     /// Load message for the `report` of the engine at `engine`.
     pub fn new(engine: String, report: &Report) -> Self {
-        let held = report.held.iter().map(|held| Weights {
-            model: held.model.clone(),
-            version: held.version.0,
+        let loaded = report.held.iter().map(|loaded| LoadedVersion {
+            model: loaded.model.clone(),
+            version: loaded.version.0,
         });
         Self {
             engine,
-            held: held.collect(),
+            loaded: loaded.collect(),
             is_busy: report.is_busy,
             queued: report.queued,
             active: report.active,
@@ -322,21 +325,21 @@
             memory_total: report.memory_total,
             pace: (report.pace * 1_000.0) as u32,
             gateways: Vec::new(),
-            echo: 0,
+            echoed_timestamp_millis: 0,
             unread_tokens: report.unread_tokens,
-            born: report.born.map_or(0, |born| born.0),
+            start_time_millis: report.born.map_or(0, |born| born.0),
         }
     }
 
     /// Decodes the report.
     pub fn report(&self) -> Report {
-        let held = self.held.iter().map(|weights| Held {
+        let loaded = self.loaded.iter().map(|weights| Held {
             model: weights.model.clone(),
             version: Version(weights.version),
         });
         Report {
-            born: (self.born > 0).then_some(Born(self.born)),
-            held: held.collect(),
+            born: (self.start_time_millis > 0).then_some(Born(self.start_time_millis)),
+            held: loaded.collect(),
             is_busy: self.is_busy,
             sequence: 0,
             queued: self.queued,
--- a/crates/gingerpier_gateway/src/message/suspects.rs
+++ b/crates/gingerpier_gateway/src/message/suspects.rs
@@ -15,26 +15,26 @@
 /// Fingerprint of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
-pub struct ToldMark(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH]);
+pub struct FingerprintBytes(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH]);
 
-impl From<Mark> for ToldMark {
+impl From<Mark> for FingerprintBytes {
     fn from(mark: Mark) -> Self {
         Self(mark.0)
     }
 }
 
-impl From<ToldMark> for Mark {
-    fn from(told: ToldMark) -> Self {
-        Self(told.0)
+impl From<FingerprintBytes> for Mark {
+    fn from(bytes: FingerprintBytes) -> Self {
+        Self(bytes.0)
     }
 }
 
 /// A request ran on an engine when that crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldEnd {
+pub struct CrashUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: ToldMark,
+    pub fingerprint: FingerprintBytes,
     /// Hash of the client account.
     #[n(1)]
     pub account: u32,
@@ -46,39 +46,39 @@
     pub version: u64,
     /// Milliseconds since the crash was detected.
     #[n(4)]
-    pub age: u64,
+    pub age_millis: u64,
 }
 
-impl ToldEnd {
-    /// Encodes `end` at `now`.
-    pub fn new(end: &End, now: Instant) -> Self {
+impl CrashUpdate {
+    /// Encodes `crash` at `now`.
+    pub fn new(crash: &End, now: Instant) -> Self {
         Self {
-            mark: end.mark.into(),
-            account: end.account,
-            engine: end.engine.0,
-            version: end.version.0,
-            age: now.millis_since(end.at),
+            fingerprint: crash.mark.into(),
+            account: crash.account,
+            engine: crash.engine.0,
+            version: crash.version.0,
+            age_millis: now.millis_since(crash.at),
         }
     }
 
     /// Decodes the crash, received at `now`.
-    pub fn end(&self, now: Instant) -> End {
+    pub fn crash(&self, now: Instant) -> End {
         End {
-            mark: self.mark.into(),
+            mark: self.fingerprint.into(),
             account: self.account,
             engine: Incarnation(self.engine),
             version: Version(self.version),
-            at: Instant::from_millis(now.as_millis().saturating_sub(self.age)),
+            at: Instant::from_millis(now.as_millis().saturating_sub(self.age_millis)),
         }
     }
 }
 
 /// A request ran to completion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldCleared {
+pub struct CompletionUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: ToldMark,
+    pub fingerprint: FingerprintBytes,
     /// Version of the weights that served it.
     #[n(1)]
     pub version: u64,
@@ -86,10 +86,10 @@
 
 /// An operator dismissed an engine's crash as evidence against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldPardon {
+pub struct DismissalUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: ToldMark,
+    pub fingerprint: FingerprintBytes,
     /// Hash of the client account.
     #[n(1)]
     pub account: u32,
@@ -100,37 +100,37 @@
 
 /// Start or end of a trial run of a request that may crash engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct ToldTrial {
+pub struct TrialUpdate {
     /// Fingerprint of the request.
     #[n(0)]
-    pub mark: ToldMark,
+    pub fingerprint: FingerprintBytes,
     /// Gateway that runs the trial.
     #[n(1)]
-    pub by: SocketAddr,
+    pub gateway: SocketAddr,
     /// Engine, if it must not run another trial.
     #[n(2)]
     pub engine: Option<u64>,
     /// True if the trial has ended.
     #[n(3)]
-    pub is_over: bool,
+    pub has_ended: bool,
 }
 
-impl ToldTrial {
+impl TrialUpdate {
     /// Encodes `trial`.
-    pub fn new(trial: &Trial, is_over: bool) -> Self {
+    pub fn new(trial: &Trial, has_ended: bool) -> Self {
         Self {
-            mark: trial.mark.into(),
-            by: trial.by,
+            fingerprint: trial.mark.into(),
+            gateway: trial.by,
             engine: trial.engine.map(|engine| engine.0),
-            is_over,
+            has_ended,
         }
     }
 
     /// Decodes the trial.
     pub fn trial(&self) -> Trial {
         Trial {
-            by: self.by,
-            mark: self.mark.into(),
+            by: self.gateway,
+            mark: self.fingerprint.into(),
             engine: self.engine.map(Incarnation),
         }
     }
@@ -142,33 +142,33 @@
 pub struct Suspects {
     /// Crashes.
     #[cbor(n(0), default)]
-    pub ends: Vec<ToldEnd>,
+    pub crashes: Vec<CrashUpdate>,
     /// Requests that ran to completion.
     #[cbor(n(1), default)]
-    pub cleared: Vec<ToldCleared>,
+    pub completions: Vec<CompletionUpdate>,
     /// Dismissed crashes.
     #[cbor(n(2), default)]
-    pub pardons: Vec<ToldPardon>,
+    pub dismissals: Vec<DismissalUpdate>,
     /// Trials.
     #[cbor(n(3), default)]
-    pub trials: Vec<ToldTrial>,
+    pub trials: Vec<TrialUpdate>,
     /// True if the recipient forwards new entries to the other gateways of its zone.
     #[cbor(n(4), default)]
-    pub is_to_pass_on: bool,
+    pub is_to_be_forwarded: bool,
     /// Digest of all entries that the sender knows, to detect missing ones.
     #[n(5)]
     pub digest: Option<u64>,
     /// True if this replies to a digest, so that no further reply follows.
     #[cbor(n(6), default)]
-    pub is_answer: bool,
+    pub is_reply: bool,
 }
 
 impl Suspects {
     /// True if there are no entries.
     pub const fn is_empty(&self) -> bool {
-        self.ends.is_empty()
-            && self.cleared.is_empty()
-            && self.pardons.is_empty()
+        self.crashes.is_empty()
+            && self.completions.is_empty()
+            && self.dismissals.is_empty()
             && self.trials.is_empty()
     }
 }
--- a/crates/gingerpier_gateway/src/state/naming.rs
+++ b/crates/gingerpier_gateway/src/state/release.rs
@@ -4,7 +4,7 @@
     super::State,
     crate::{clock, message},
     gingerpier_serving::{
-        admission::Due,
+        admission::Cutover,
         dialect::Named,
         naming::{Naming, Namings, OWN},
         report::Version,
@@ -34,7 +34,7 @@
     }
 
     /// Newest release of each model.
-    pub fn named(&self) -> Vec<Named> {
+    pub fn newest_releases(&self) -> Vec<Named> {
         let releases = self.releases.borrow();
         let newest = |(model, model_releases): (&String, &Namings)| {
             Some(Named {
@@ -46,14 +46,14 @@
     }
 
     /// Newest released version of `model`.
-    pub fn newest_named(&self, model: &str) -> Option<Version> {
+    pub fn newest_release(&self, model: &str) -> Option<Version> {
         let releases = self.releases.borrow();
         Some(releases.get(model)?.newest()?.version)
     }
 
     /// True if another process may already have a part of the version: it is no release, is known
     /// for `millis`, or may have been released before this process began to run.
-    pub fn may_be_held(&self, release: &Named, millis: u64) -> bool {
+    pub fn may_be_distributed(&self, release: &Named, millis: u64) -> bool {
         let releases = self.releases.borrow();
         let model_releases = releases
             .get(&release.model)
@@ -68,22 +68,22 @@
     }
 
     /// Newest release of each model, with its age, for loaders.
-    pub fn releases(&self) -> Vec<message::Naming> {
+    pub fn releases(&self) -> Vec<message::ReportedRelease> {
         let now = clock::now();
         let releases = self.releases.borrow();
         let newest = |(model, model_releases): (&String, &Namings)| {
             let newest = model_releases.newest()?;
-            Some(message::Naming {
+            Some(message::ReportedRelease {
                 model: model.clone(),
                 version: newest.version.0,
-                age: now.millis_since(newest.at),
+                age_millis: now.millis_since(newest.at),
             })
         };
         releases.iter().filter_map(newest).collect()
     }
 
     /// Past and coming cutovers of `model`.
-    pub fn cutovers(&self, model: &str) -> Vec<Due> {
+    pub fn cutovers(&self, model: &str) -> Vec<Cutover> {
         let releases = self.releases.borrow();
         let model_releases = releases.get(model).into_iter().flat_map(Namings::iter);
         model_releases
@@ -91,8 +91,8 @@
             .collect()
     }
 
-    fn cutover_of(&self, release: &Naming) -> Due {
-        Due {
+    fn cutover_of(&self, release: &Naming) -> Cutover {
+        Cutover {
             version: release.version,
             at: release.due_at(self.settings.version_within.0),
         }
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -3,12 +3,12 @@
 
 use {
     crate::{
-        client::{Client, MAX_ANSWER_BYTES},
+        client::{Client, MAX_RESPONSE_BYTES},
         clock,
         error::{Error, Step as Operation},
-        items::slim,
-        relay,
+        items::strip_unused_value,
         state::State,
+        store_sharing,
     },
     gingerpier_base::Instant,
     gingerpier_http1::connection::Whole,
@@ -61,19 +61,19 @@
 
 /// Copy of the store, which may be partially read.
 #[derive(Debug, Default)]
-pub struct Copy {
+pub struct FullCopy {
     /// Items that were read.
     pub items: Vec<Item>,
     /// Revision of the first page. Pages are not one snapshot, so a watch has to continue from
     /// here.
-    pub at: Revision,
+    pub revision: Revision,
     /// Revision of the last page.
-    pub newest_at: Revision,
+    pub last_page_revision: Revision,
     /// When the first page was requested.
     started: Option<Instant>,
 }
 
-impl Copy {
+impl FullCopy {
     /// Reads the missing pages; returns when the first page was requested. Pages are kept on an
     /// error, so the next call resumes after them.
     ///
@@ -101,11 +101,12 @@
             let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
             let page = read_page(client.peer(), dialect, &response)?;
             if is_first_page {
-                self.at = page.at;
+                self.revision = page.at;
             }
-            self.newest_at = page.at;
+            self.last_page_revision = page.at;
             let items = page.items.into_iter();
-            self.items.extend(items.map(|item| slim(dialect, item)));
+            self.items
+                .extend(items.map(|item| strip_unused_value(dialect, item)));
             if !page.has_more {
                 return Ok(started);
             }
@@ -118,13 +119,13 @@
 /// # Errors
 ///
 /// Fails if a page can't be read.
-pub async fn read_all(
+pub async fn read_full(
     client: &mut Client,
     dialect: &dyn Dialect,
     scope: Scope,
     stale: bool,
-) -> Result<Copy, Error> {
-    let mut copy = Copy::default();
+) -> Result<FullCopy, Error> {
+    let mut copy = FullCopy::default();
     copy.read(client, dialect, scope, stale).await?;
     Ok(copy)
 }
@@ -132,7 +133,7 @@
 /// Creates a client of the store at `peer` that uses a small request to tell a dead connection from
 /// a slow network.
 pub fn client(peer: SocketAddr, dialect: &dyn Dialect) -> Client {
-    Client::new(peer).patient(small_request(dialect))
+    Client::new(peer).with_probe(small_request(dialect))
 }
 
 /// Request for an empty page that may be stale, which costs little.
@@ -142,10 +143,10 @@
 
 fn read_page(peer: SocketAddr, dialect: &dyn Dialect, response: &Whole) -> Result<Page, Error> {
     let page = dialect.read_list(response.head.status, &response.body);
-    page.map_err(|what| Error::Answer {
-        step: Operation::Read,
+    page.map_err(|cause| Error::Response {
+        step: Operation::Parse,
         peer,
-        what,
+        cause,
     })
 }
 
@@ -164,10 +165,10 @@
     let request = dialect.watch(scope, after, millis);
     let response = client.call(&request, millis + WATCH_SLACK_MILLIS).await?;
     let watched = dialect.read_watch(response.head.status, &response.body);
-    watched.map_err(|what| Error::Answer {
-        step: Operation::Read,
+    watched.map_err(|cause| Error::Response {
+        step: Operation::Parse,
         peer: client.peer(),
-        what,
+        cause,
     })
 }
 
@@ -175,7 +176,7 @@
 struct Polling {
     client: Client,
     /// Partial copy.
-    copy: Copy,
+    copy: FullCopy,
     /// True if a watch is not enough and a full copy is needed.
     needs_copy: bool,
     /// True if the last watch returned nothing although the store had changed.
@@ -188,10 +189,10 @@
 /// the store.
 pub async fn follow(state: Rc<State>) {
     let mut watching = Watching::new(state.settings.control, clock::now());
-    let client = Client::noting(state.settings.store, state.store_received_at.clone());
+    let client = Client::recording(state.settings.store, state.store_received_at.clone());
     let mut polling = Polling {
-        client: client.patient(small_request(state.dialect)),
-        copy: Copy::default(),
+        client: client.with_probe(small_request(state.dialect)),
+        copy: FullCopy::default(),
         needs_copy: false,
         has_missed_changes: false,
         consecutive_failures: 0,
@@ -200,17 +201,17 @@
     let mut last_kind = None;
     loop {
         let has_copy = state.mirror.borrow().at() > Revision::default();
-        let step = watching.next(&state.neighbours(), has_copy, clock::now());
+        let step = watching.next(&state.neighbour_addresses(), has_copy, clock::now());
         let kind = std::mem::discriminant(&step);
         if last_kind.replace(kind) != Some(kind) && matches!(step, Step::Store | Step::Probe) {
-            tracing::info!(?step, has_copy, age = ?state.contact_age(), "store is asked by this gateway");
+            tracing::info!(?step, has_copy, age = ?state.contact_age_millis(), "store is asked by this gateway");
         }
         match step {
             Step::Store => poll_store(&state, &mut polling).await,
             Step::Probe => probe_store(&state, &mut polling, &mut watching).await,
             Step::Wait(until) => clock::until(until).await,
             Step::FirstCopy(member) => {
-                if !relay::ask_first_copy(&state, member).await {
+                if !store_sharing::fetch_first_copy(&state, member).await {
                     watching.note_without_copy(member);
                 }
             }
@@ -218,7 +219,7 @@
                 let connected = watcher.take().filter(|client| client.peer() == member);
                 let mut client = connected.unwrap_or_else(|| watcher_client(member));
                 let max_age_millis = watching.most_age_millis(member, clock::now());
-                match relay::ask_watcher(&state, &mut client, max_age_millis).await {
+                match store_sharing::poll_watcher(&state, &mut client, max_age_millis).await {
                     Ok(()) => {
                         watcher = Some(client);
                         // The response covers as much as a full read of the store.
@@ -226,7 +227,7 @@
                         clock::pause(POLL_PAUSE_MILLIS).await;
                     }
                     Err(failure) => {
-                        tracing::info!(watcher = %member, ?failure, age = ?state.contact_age(), "poll of a watching gateway failed; trying another one");
+                        tracing::info!(watcher = %member, ?failure, age = ?state.contact_age_millis(), "poll of a watching gateway failed; trying another one");
                         watching.note_failure(member, failure, clock::now());
                     }
                 }
@@ -237,7 +238,7 @@
 
 fn watcher_client(member: SocketAddr) -> Client {
     tracing::info!(watcher = %member, "polling a gateway that watches the store");
-    Client::of_gateway(member)
+    Client::accepting_compression(member)
 }
 
 /// Watches the store for changes, or reads a full copy.
@@ -253,13 +254,13 @@
             polling.consecutive_failures = 0;
             // A watch that missed changes, or a pending full read, does not prove freshness.
             if let Some(fresh_at) = fresh_at {
-                state.note_contact(0);
+                state.record_contact(0);
                 state.record_fresh(fresh_at);
                 clock::pause(WATCH_PAUSE_MILLIS).await;
             }
         }
         Err(error) => {
-            state.note_store_failure(&error);
+            state.record_store_failure(&error);
             polling.back_off().await;
         }
     }
@@ -277,13 +278,13 @@
     watching.note_probe(is_ahead, elapsed_millis, clock::now());
     match is_current {
         Ok(true) => {
-            state.note_contact(0);
+            state.record_contact(0);
             state.record_fresh(requested);
             clock::pause(WATCH_PAUSE_MILLIS).await;
         }
         Ok(false) => {}
         Err(error) => {
-            state.note_store_failure(&error);
+            state.record_store_failure(&error);
             polling.back_off().await;
         }
     }
@@ -309,8 +310,8 @@
         .read(client, state.dialect, Scope::Everything, false)
         .await?;
     let copy = std::mem::take(&mut polling.copy);
-    state.record_store_response(copy.newest_at);
-    state.replace(copy.items, copy.at);
+    state.record_store_response(copy.last_page_revision);
+    state.replace_mirror(copy.items, copy.revision);
     polling.needs_copy = false;
     polling.has_missed_changes = false;
     Ok(started)
@@ -323,15 +324,15 @@
     let after = state.mirror.borrow().at();
     let requested = clock::now();
     let client = &mut polling.client;
-    client.most_bytes = max_watch_bytes(state);
+    client.max_body_bytes = max_watch_bytes(state);
     // Changes that the last watch missed are already in the store.
     let wait_millis = match polling.has_missed_changes {
         true => MISSED_WATCH_WAIT_MILLIS,
         false => WATCH_WAIT_MILLIS,
     };
     let watched = watch(client, state.dialect, Scope::Everything, after, wait_millis).await;
-    client.most_bytes = MAX_ANSWER_BYTES;
-    let is_too_long = |error: &Error| matches!(error, Error::Http { what, .. } if *what == gingerpier_http1::error::Error::BodyTooLong);
+    client.max_body_bytes = MAX_RESPONSE_BYTES;
+    let is_too_long = |error: &Error| matches!(error, Error::Http { cause, .. } if *cause == gingerpier_http1::error::Error::BodyTooLong);
     if watched.as_ref().is_err_and(is_too_long) {
         tracing::info!(
             after = after.0,
--- a/crates/gingerpier_gateway/src/relay.rs
+++ b/crates/gingerpier_gateway/src/store_sharing.rs
@@ -5,10 +5,10 @@
 
 use {
     crate::{
-        client::{Client, MAX_ANSWER_BYTES},
+        client::{Client, MAX_RESPONSE_BYTES},
         clock, compression,
-        message::{self, SharedItem, Snapshot},
-        metrics::Kind,
+        message::{self, Snapshot, StoreItem},
+        metrics::MessageKind,
         state::State,
     },
     futures_util::future::join_all,
@@ -108,12 +108,12 @@
         return Message::response(200).body(state.metrics.text().as_bytes());
     }
     if target == HELD_PATH {
-        return Message::response(200).body(state.held_text().as_bytes());
+        return Message::response(200).body(state.held_requests_text().as_bytes());
     }
     if let Some(fingerprint) = target.strip_prefix(RELEASE_PATH) {
         let is_valid = request.method() == b"POST" && !fingerprint.is_empty();
         let released = if is_valid {
-            state.release(fingerprint)
+            state.dismiss_held(fingerprint)
         } else {
             0
         };
@@ -135,10 +135,10 @@
     );
     state
         .metrics
-        .note_message(Kind::Snapshot, encoded.bytes.len());
+        .record_message(MessageKind::Snapshot, encoded.bytes.len());
     let ages = Ages {
-        last_contact: state.word_age(),
-        last_current: state.fresh_age(),
+        last_contact: state.silence_millis(),
+        last_current: state.mirror_age_millis(),
         wait: clock::now().millis_since(received_at),
         last_recovery: RecoveryAge::of(state),
     };
@@ -155,7 +155,7 @@
 async fn wait_for_changes(state: &State, snapshot_request: &SnapshotRequest) {
     let deadline = clock::now().after_millis(snapshot_request.wait_millis.min(MAX_WAIT_MILLIS));
     while state.mirror.borrow().at() <= snapshot_request.after {
-        let changes = clock::before(deadline, state.news.notified());
+        let changes = clock::before(deadline, state.mirror_changed.notified());
         if changes.await.is_none() {
             return;
         }
@@ -195,9 +195,9 @@
 ///
 /// # Errors
 ///
-/// If the gateway doesn't respond, or its last contact with the store is older than `max_age_millis`
-/// milliseconds.
-pub async fn ask_watcher(
+/// If the gateway doesn't respond, or its last contact with the store is older than
+/// `max_age_millis` milliseconds.
+pub async fn poll_watcher(
     state: &State,
     client: &mut Client,
     max_age_millis: u64,
@@ -219,15 +219,15 @@
     if age > max_age_millis {
         return Err(Failure::Old);
     }
-    state.note_contact(age);
+    state.record_contact(age);
     Ok(())
 }
 
 /// Requests a first copy of the store from another gateway; false if it has none.
-pub async fn ask_first_copy(state: &State, peer: SocketAddr) -> bool {
+pub async fn fetch_first_copy(state: &State, peer: SocketAddr) -> bool {
     let age = fetch_snapshot(state, peer).await;
     if let Some(age) = age {
-        state.note_contact(age);
+        state.record_contact(age);
     }
     age.is_some()
 }
@@ -256,7 +256,7 @@
 
 impl RecoveryAge {
     fn of(state: &State) -> Option<Self> {
-        let last = state.last_return()?;
+        let last = state.last_recovery()?;
         Some(Self {
             remaining_millis: last.until.millis_since(clock::now()),
             revision: last.revision,
@@ -325,7 +325,7 @@
     let fields = &response.head.fields;
     let ages = Ages::parse(fields.get(AGES_FIELD)?)?;
     let snapshot = match fields.lists("content-encoding", compression::ENCODING) {
-        true => message::decode(&compression::decompress(&response.body, MAX_ANSWER_BYTES).ok()?),
+        true => message::decode(&compression::decompress(&response.body, MAX_RESPONSE_BYTES).ok()?),
         false => message::decode(&response.body),
     };
     Some(ReceivedSnapshot {
@@ -347,19 +347,19 @@
         revision: last.revision,
         until: created_at.after_millis(last.remaining_millis),
     });
-    state.note_told_outage(confirmed_at, last_recovery);
+    state.record_peer_outage(confirmed_at, last_recovery);
 }
 
 fn apply_snapshot(state: &State, received: ReceivedSnapshot) {
     let at = Revision(received.snapshot.at);
     let items = received.snapshot.items.into_iter();
-    let items = items.map(SharedItem::item).collect();
+    let items = items.map(StoreItem::item).collect();
     if received.snapshot.is_changes {
-        state.apply(items, at);
+        state.apply_changes(items, at);
     } else {
-        state.replace(items, at);
+        state.replace_mirror(items, at);
     }
-    state.note_told(
+    state.record_peer_freshness(
         received.sent_at,
         received.ages.last_current,
         received.ages.wait,
@@ -368,10 +368,10 @@
 
 /// Polls peers while the store is unreachable. Waits for all responses, as concurrent transfers of
 /// large ones would slow each other down.
-pub async fn follow(state: Rc<State>) {
+pub async fn run(state: Rc<State>) {
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
-        if !state.lacks_contact() {
+        if !state.has_stale_contact() {
             continue;
         }
         let polls = choose_peers(&state)
@@ -385,10 +385,10 @@
 /// for its zone. That limits transfers of a large configuration between regions.
 fn choose_peers(state: &State) -> Vec<SocketAddr> {
     let own = state.settings.control;
-    let zone_peers = state.neighbours();
+    let zone_peers = state.neighbour_addresses();
     let mut peers: Vec<SocketAddr> = match watching::is_watcher(own, zone_peers.iter().copied()) {
         true => {
-            let reachable = state.living_gateways().into_iter();
+            let reachable = state.alive_gateways().into_iter();
             let reachable =
                 reachable.map(|gateway| SocketAddr::new(gateway.address.ip(), own.port()));
             reachable
@@ -413,7 +413,7 @@
         after,
         wait_millis: 0,
     };
-    let mut client = Client::of_gateway(peer);
+    let mut client = Client::accepting_compression(peer);
     let received = exchange(&mut client, &snapshot_request, RESPONSE_TIMEOUT_MILLIS).await?;
     record_outage(state, &received);
     if received.snapshot.at <= after.0 {
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -10,9 +10,10 @@
     crate::{
         clock,
         message::{
-            self, Datagram, Suspects as Message, ToldCleared, ToldEnd, ToldPardon, ToldTrial,
+            self, CompletionUpdate, CrashUpdate, Datagram, DismissalUpdate, Suspects as Message,
+            TrialUpdate,
         },
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     gingerpier_base::{Instant, order},
@@ -62,8 +63,8 @@
 struct Outbox {
     crashes: Vec<End>,
     completions: Vec<(Mark, Version)>,
-    dismissals: Vec<ToldPardon>,
-    trial_updates: Vec<ToldTrial>,
+    dismissals: Vec<DismissalUpdate>,
+    trial_updates: Vec<TrialUpdate>,
     repeats: VecDeque<(Instant, Vec<End>)>,
 }
 
@@ -142,7 +143,7 @@
 
     /// Announces to other gateways that a trial of this gateway begins or is over.
     pub fn announce_trial(&self, trial: &Trial, is_over: bool) {
-        let update = ToldTrial::new(trial, is_over);
+        let update = TrialUpdate::new(trial, is_over);
         self.suspect_state
             .outbox
             .borrow_mut()
@@ -153,7 +154,7 @@
 
     /// Dismisses the crashes of held requests whose fingerprints begin with `prefix`; returns the
     /// number of requests.
-    pub fn release(&self, prefix: &str) -> usize {
+    pub fn dismiss_held(&self, prefix: &str) -> usize {
         let mut suspects = self.suspect_state.suspects.borrow_mut();
         let held = suspects
             .held()
@@ -164,8 +165,8 @@
         let mut outbox = self.suspect_state.outbox.borrow_mut();
         for (fingerprint, account) in &held {
             for engine in suspects.pardon(*fingerprint) {
-                outbox.dismissals.push(ToldPardon {
-                    mark: (*fingerprint).into(),
+                outbox.dismissals.push(DismissalUpdate {
+                    fingerprint: (*fingerprint).into(),
                     account: *account,
                     engine: engine.0,
                 });
@@ -178,7 +179,7 @@
 
     /// Held requests, one per line: fingerprint, number of crashed engines, and ids of those that
     /// are known here.
-    pub fn held_text(&self) -> String {
+    pub fn held_requests_text(&self) -> String {
         let suspects = self.suspect_state.suspects.borrow();
         let line = |(mark, case): (Mark, &Case)| {
             let engines = self.engine_ids(case).join(",");
@@ -254,30 +255,30 @@
                 .flat_map(|(_, crashes)| crashes),
         );
     }
-    let crashes: Vec<ToldEnd> = crashes
+    let crashes: Vec<CrashUpdate> = crashes
         .iter()
-        .map(|crash| ToldEnd::new(crash, now))
+        .map(|crash| CrashUpdate::new(crash, now))
         .collect();
     let completions = std::mem::take(&mut outbox.completions).into_iter();
-    let completions: Vec<ToldCleared> = completions.map(completion_update).collect();
+    let completions: Vec<CompletionUpdate> = completions.map(completion_update).collect();
     let dismissals = std::mem::take(&mut outbox.dismissals);
     let trial_updates = std::mem::take(&mut outbox.trial_updates);
     split_into_messages(&crashes, &completions, &dismissals, &trial_updates)
 }
 
-fn completion_update((fingerprint, version): (Mark, Version)) -> ToldCleared {
-    ToldCleared {
-        mark: fingerprint.into(),
+fn completion_update((fingerprint, version): (Mark, Version)) -> CompletionUpdate {
+    CompletionUpdate {
+        fingerprint: fingerprint.into(),
         version: version.0,
     }
 }
 
 /// Splits updates into messages that fit into datagrams.
 fn split_into_messages(
-    crashes: &[ToldEnd],
-    completions: &[ToldCleared],
-    dismissals: &[ToldPardon],
-    trial_updates: &[ToldTrial],
+    crashes: &[CrashUpdate],
+    completions: &[CompletionUpdate],
+    dismissals: &[DismissalUpdate],
+    trial_updates: &[TrialUpdate],
 ) -> Vec<Message> {
     let counts = [
         crashes.len(),
@@ -288,9 +289,9 @@
     let total: usize = counts.iter().sum();
     if total <= MAX_ENTRIES {
         let message = Message {
-            ends: crashes.to_vec(),
-            cleared: completions.to_vec(),
-            pardons: dismissals.to_vec(),
+            crashes: crashes.to_vec(),
+            completions: completions.to_vec(),
+            dismissals: dismissals.to_vec(),
             trials: trial_updates.to_vec(),
             ..Message::default()
         };
@@ -301,15 +302,15 @@
         };
     }
     let crashes = crashes.chunks(MAX_ENTRIES).map(|crashes| Message {
-        ends: crashes.to_vec(),
+        crashes: crashes.to_vec(),
         ..Message::default()
     });
     let completions = completions.chunks(MAX_ENTRIES).map(|completions| Message {
-        cleared: completions.to_vec(),
+        completions: completions.to_vec(),
         ..Message::default()
     });
     let dismissals = dismissals.chunks(MAX_ENTRIES).map(|dismissals| Message {
-        pardons: dismissals.to_vec(),
+        dismissals: dismissals.to_vec(),
         ..Message::default()
     });
     let trial_updates = trial_updates
@@ -327,7 +328,9 @@
 
 fn send(state: &State, socket: &UdpSocket, message: &Message, receiver: SocketAddr) {
     let bytes = message::encode(&Datagram::Suspects(message.clone()));
-    state.metrics.note_message(Kind::Suspects, bytes.len());
+    state
+        .metrics
+        .record_message(MessageKind::Suspects, bytes.len());
     // A datagram that is not sent counts as lost: it is repeated, or the next digest reveals the
     // gap.
     let _ = socket.try_send_to(&bytes, receiver);
@@ -349,7 +352,7 @@
             continue;
         }
         sent_to_zone += 1;
-        message.is_to_pass_on = !is_target_zone;
+        message.is_to_be_forwarded = !is_target_zone;
         send(state, socket, &message, gateway);
     }
 }
@@ -360,13 +363,13 @@
     let (news, refutations) = apply_update(state, update, now);
     if !refutations.is_empty() {
         let response = Message {
-            cleared: refutations,
-            is_answer: true,
+            completions: refutations,
+            is_reply: true,
             ..Message::default()
         };
         send(state, socket, &response, from);
     }
-    if update.is_to_pass_on && !news.is_empty() {
+    if update.is_to_be_forwarded && !news.is_empty() {
         for neighbour in state.zones.borrow().neighbours() {
             send(state, socket, &news, neighbour);
         }
@@ -381,10 +384,10 @@
     for response in &responses {
         send(state, socket, response, from);
     }
-    if !update.is_answer {
+    if !update.is_reply {
         let request = Message {
             digest: Some(own_digest),
-            is_answer: true,
+            is_reply: true,
             ..Message::default()
         };
         send(state, socket, &request, from);
@@ -392,11 +395,11 @@
 }
 
 /// Applies an update; returns the part of it that is new here, and completions that refute it.
-fn apply_update(state: &State, update: &Message, now: Instant) -> (Message, Vec<ToldCleared>) {
+fn apply_update(state: &State, update: &Message, now: Instant) -> (Message, Vec<CompletionUpdate>) {
     let mut news = Message::default();
-    let mut refutations: Vec<ToldCleared> = Vec::new();
-    for report in &update.ends {
-        let crash = report.end(now);
+    let mut refutations: Vec<CompletionUpdate> = Vec::new();
+    for report in &update.crashes {
+        let crash = report.crash(now);
         let engine_count = state.engine_count();
         let change = state
             .suspect_state
@@ -405,34 +408,37 @@
             .note_end(crash, engine_count);
         match change {
             Noted::Known => {}
-            Noted::News => news.ends.push(*report),
+            Noted::News => news.crashes.push(*report),
             Noted::Refuted(version) => refutations.push(completion_update((crash.mark, version))),
         }
     }
     refutations.dedup();
     let mut suspects = state.suspect_state.suspects.borrow_mut();
-    for completion in &update.cleared {
-        if suspects.note_cleared(completion.mark.into(), Version(completion.version)) {
-            news.cleared.push(*completion);
+    for completion in &update.completions {
+        if suspects.note_cleared(completion.fingerprint.into(), Version(completion.version)) {
+            news.completions.push(*completion);
             // A response to an update that this gateway may also have sent to others.
-            if update.is_answer {
-                state.announce_completion(completion.mark.into(), Version(completion.version));
+            if update.is_reply {
+                state.announce_completion(
+                    completion.fingerprint.into(),
+                    Version(completion.version),
+                );
             }
         }
     }
-    for dismissal in &update.pardons {
+    for dismissal in &update.dismissals {
         if suspects.note_pardoned(
-            dismissal.mark.into(),
+            dismissal.fingerprint.into(),
             dismissal.account,
             Incarnation(dismissal.engine),
         ) {
-            news.pardons.push(*dismissal);
+            news.dismissals.push(*dismissal);
         }
     }
     let mut trials = state.suspect_state.trials.borrow_mut();
     for trial_update in &update.trials {
-        match trial_update.is_over {
-            true => trials.note_over(trial_update.mark.into(), trial_update.by),
+        match trial_update.has_ended {
+            true => trials.note_over(trial_update.fingerprint.into(), trial_update.gateway),
             false => trials.note_begun(trial_update.trial(), now),
         }
         news.trials.push(*trial_update);
@@ -447,19 +453,19 @@
 /// Messages with all serious cases.
 fn serious_cases(suspects: &Suspects, now: Instant) -> Vec<Message> {
     let crashes = suspects.grave().flat_map(|(_, case)| &case.ends);
-    let crashes: Vec<ToldEnd> = crashes.map(|crash| ToldEnd::new(crash, now)).collect();
+    let crashes: Vec<CrashUpdate> = crashes.map(|crash| CrashUpdate::new(crash, now)).collect();
     let completions = suspects
         .grave()
         .filter_map(|(fingerprint, case)| Some((fingerprint, case.cleared?)));
-    let completions: Vec<ToldCleared> = completions.map(completion_update).collect();
+    let completions: Vec<CompletionUpdate> = completions.map(completion_update).collect();
     let dismissals = suspects.grave().flat_map(|(fingerprint, case)| {
-        case.pardoned.iter().map(move |engine| ToldPardon {
-            mark: fingerprint.into(),
+        case.pardoned.iter().map(move |engine| DismissalUpdate {
+            fingerprint: fingerprint.into(),
             account: case.account,
             engine: engine.0,
         })
     });
-    let dismissals: Vec<ToldPardon> = dismissals.collect();
+    let dismissals: Vec<DismissalUpdate> = dismissals.collect();
     split_into_messages(&crashes, &completions, &dismissals, &[])
 }
 
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -9,10 +9,10 @@
 pub mod cache;
 pub mod fetch;
 pub mod manifest;
+pub mod origin_poll;
 pub mod peers;
 pub mod relay;
 pub mod request;
-pub mod search;
 pub mod sources;
 
 use {
@@ -43,13 +43,13 @@
 const MAX_UPLOADS_WIDE: usize = 64;
 
 /// Chunk cache of a process and the state of its weights transfers.
-pub struct Carrier {
+pub struct Distributor {
     /// Platform protocol.
     pub dialect: &'static dyn Dialect,
     /// Chunks in memory.
     pub chunk_cache: RefCell<ChunkCache>,
     /// Encoded engine and service configuration for loaders; set on gateways once known.
-    pub figures: RefCell<Option<Bytes>>,
+    pub configuration: RefCell<Option<Bytes>>,
     /// Engine on this machine; none on gateways.
     pub engine: Option<SocketAddr>,
     /// Version that the local engine serves.
@@ -59,7 +59,7 @@
     /// Version that a peer last requested and that isn't cached here.
     pub requested: RefCell<Option<Named>>,
     /// Send rate limit for chunks; set where the link is narrow.
-    pub pace: Option<RefCell<Pace>>,
+    pub pacer: Option<RefCell<Pace>>,
     /// Notified when a chunk or a manifest is cached.
     pub arrived: Notify,
     /// Limits concurrent uploads.
@@ -68,17 +68,17 @@
     pub sustained_peer_requests: Cell<Option<usize>>,
 }
 
-impl Carrier {
+impl Distributor {
     /// Distribution state of a loader next to `engine`, behind a narrow link.
     pub fn for_engine(
         dialect: &'static dyn Dialect,
         engine: SocketAddr,
         link_bits_per_second: u64,
     ) -> Self {
-        let pace = Pace::new(link_bits_per_second);
+        let pacer = Pace::new(link_bits_per_second);
         Self {
             engine: Some(engine),
-            pace: Some(RefCell::new(pace)),
+            pacer: Some(RefCell::new(pacer)),
             upload_permits: Semaphore::new(MAX_UPLOADS_NARROW),
             ..Self::new(dialect)
         }
@@ -89,12 +89,12 @@
         Self {
             dialect,
             chunk_cache: RefCell::default(),
-            figures: RefCell::default(),
+            configuration: RefCell::default(),
             engine: None,
             served: RefCell::default(),
             fetching: RefCell::default(),
             requested: RefCell::default(),
-            pace: None,
+            pacer: None,
             arrived: Notify::new(),
             upload_permits: Semaphore::new(MAX_UPLOADS_WIDE),
             sustained_peer_requests: Cell::new(None),
@@ -189,7 +189,7 @@
 
 /// A gateway and its availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct GatewayPlace {
+pub struct GatewayLocation {
     /// Address for peers.
     pub address: SocketAddr,
     /// Availability zone.
@@ -207,13 +207,13 @@
 /// Relays of `version`: all `gateways`, because the loaders of a zone exceed the bandwidth of a few
 /// links. Depends only on the set of gateways, so that all processes agree.
 pub fn relay_set(
-    gateways: impl Iterator<Item = GatewayPlace>,
+    gateways: impl Iterator<Item = GatewayLocation>,
     regions: &[ZoneRegion],
     version: Version,
 ) -> RelaySet {
-    let mut gateways: Vec<GatewayPlace> = gateways.collect();
+    let mut gateways: Vec<GatewayLocation> = gateways.collect();
     gateways.sort_unstable();
-    let replica = |gateway: &GatewayPlace| Replica {
+    let replica = |gateway: &GatewayLocation| Replica {
         identity: order::hash(&gateway.address),
         region: region_hash(regions, &gateway.zone),
         zone: zone_hash(&gateway.zone),
--- a/crates/gingerpier_gateway/src/weights/search.rs
+++ b/crates/gingerpier_gateway/src/weights/origin_poll.rs
@@ -5,7 +5,7 @@
     crate::{
         client::Client,
         clock,
-        state::{State, models},
+        state::{State, configured_models},
     },
     gingerpier_base::order,
     gingerpier_serving::{
@@ -21,7 +21,7 @@
 const POLL_INTERVAL_MILLIS: u64 = 200;
 
 /// Requests the origin's newest manifest for each model for which a search is due.
-pub async fn keep(state: Rc<State>) {
+pub async fn run(state: Rc<State>) {
     let mut searches: HashMap<String, Search> = HashMap::new();
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
@@ -31,8 +31,8 @@
         let Some(origin) = configuration.origin() else {
             continue;
         };
-        for (service, model) in models(&configuration) {
-            if state.newest_named(model).is_some() {
+        for (service, model) in configured_models(&configuration) {
+            if state.newest_release(model).is_some() {
                 searches.remove(model);
                 continue;
             }
@@ -47,10 +47,10 @@
             };
             tracing::info!(model, ?seen, origin = %origin.address, "requesting the newest manifest from the origin");
             let mut client = Client::new(origin.address);
-            match manifest::fetch_from_origin(&state.carrier, &mut client, &newest).await {
+            match manifest::fetch_from_origin(&state.distributor, &mut client, &newest).await {
                 Some(found) => {
                     search.note_found(clock::now());
-                    state.note_found(found);
+                    state.record_origin_version(found);
                 }
                 None => {
                     search.note_failure(clock::now(), fastrand::u64(..));
@@ -62,14 +62,14 @@
 }
 
 fn observe(state: &State, service: &str, model: &str) -> Seen {
-    let known = state.known_weights(service, model);
-    let fetch_status = state.carrier.fetch_status(model);
+    let known = state.known_versions(service, model);
+    let fetch_status = state.distributor.fetch_status(model);
     Seen {
         is_lacking: state.lacks_weights(service, model),
         is_known: known.wanted().is_some() || fetch_status.is_fetching,
         is_whole: known.wanted().is_some_and(|version| {
             let model = model.to_owned();
-            state.carrier.is_complete(&Named { model, version })
+            state.distributor.is_complete(&Named { model, version })
         }),
         chunks: fetch_status.chunks,
         rank: rank(state, model),
--- a/crates/gingerpier_gateway/src/weights/request.rs
+++ b/crates/gingerpier_gateway/src/weights/request.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Carrier, cache,
+        Distributor, cache,
         peers::{Mode, PeerRequest},
         sources::Sources,
     },
@@ -63,7 +63,7 @@
 /// A request for one chunk to one source.
 pub struct ChunkRequest {
     /// Receives the chunk.
-    pub carrier: Rc<Carrier>,
+    pub distributor: Rc<Distributor>,
     /// Concurrency limits.
     pub sources: Rc<Sources>,
     /// Weights version.
@@ -100,7 +100,10 @@
 
     fn call(&self, mode: Mode) -> Call {
         if self.source == Source::Origin {
-            return self.carrier.dialect.chunk(&self.model_version, self.chunk);
+            return self
+                .distributor
+                .dialect
+                .chunk(&self.model_version, self.chunk);
         }
         let peer_request = PeerRequest {
             model_version: self.model_version.clone(),
@@ -112,7 +115,7 @@
 
     /// Regular chunk size of the version.
     fn chunk_bytes(&self) -> u64 {
-        let chunk_cache = self.carrier.chunk_cache.borrow();
+        let chunk_cache = self.distributor.chunk_cache.borrow();
         let chunk_set = chunk_cache.get(&self.model_version.model, self.model_version.version);
         chunk_set.map_or(0, |chunk_set| chunk_set.manifest.chunk_bytes)
     }
@@ -195,13 +198,13 @@
     }
 
     fn check(&self, body: Bytes) -> Outcome {
-        let Some(manifest) = self.carrier.manifest(&self.model_version) else {
+        let Some(manifest) = self.distributor.manifest(&self.model_version) else {
             return Outcome::Failed;
         };
         if !cache::matches_digest(&manifest, self.chunk, &body) {
             return Outcome::Corrupt;
         }
-        self.carrier
+        self.distributor
             .insert_chunk(&self.model_version, self.chunk, body);
         Outcome::Held
     }
@@ -215,26 +218,29 @@
         let step = Step::Connect;
         let deadline = clock::now().after_millis(CONNECT_TIMEOUT_MILLIS);
         let connected = clock::before(deadline, Connection::connect(peer)).await;
-        let connected = connected.ok_or(Error::Late { step, peer })?;
-        let connection = connected.map_err(|what| Error::Io { step, peer, what })?;
+        let connected = connected.ok_or(Error::Timeout { step, peer })?;
+        let connection = connected.map_err(|cause| Error::Io { step, peer, cause })?;
         connection.use_small_buffers();
         Ok(connection)
     }
 
     async fn exchange(&self, call: &Call) -> Result<(Response, Bytes), Error> {
         let peer = self.address;
-        let http_error = |what| Error::Http {
+        let http_error = |cause| Error::Http {
             step: Step::Exchange,
             peer,
-            what,
+            cause,
         };
         let mut connection = self.connect().await?;
         let request = client::encode(call, peer);
-        connection.write(&request).await.map_err(|what| Error::Io {
-            step: Step::Exchange,
-            peer,
-            what,
-        })?;
+        connection
+            .write(&request)
+            .await
+            .map_err(|cause| Error::Io {
+                step: Step::Exchange,
+                peer,
+                cause,
+            })?;
         let head = connection.response().await.map_err(http_error)?;
         let started = clock::now();
         let mut decoder = Decoder::new(head.framing().map_err(http_error)?);
--- a/crates/gingerpier_gateway/tests/client.rs
+++ b/crates/gingerpier_gateway/tests/client.rs
@@ -74,7 +74,7 @@
     });
     let started = Instant::now();
     let error = fetch(address).expect_err("the request times out");
-    assert!(matches!(error, Error::Late { .. }), "{error}");
+    assert!(matches!(error, Error::Timeout { .. }), "{error}");
     assert!(started.elapsed() < Duration::from_secs(5));
 }
 
@@ -82,7 +82,7 @@
 fn a_response_that_does_not_begin_times_out() {
     let address = serve(|_| sleep(Duration::from_secs(8)));
     let error = fetch(address).expect_err("the request times out");
-    assert!(matches!(error, Error::Late { .. }), "{error}");
+    assert!(matches!(error, Error::Timeout { .. }), "{error}");
 }
 
 /// Number of probes during a silent response, each on a connection that is closed at once.
@@ -100,10 +100,10 @@
     });
     let call = || Call::get("/small".to_owned());
     let result = actix_rt::System::new().block_on(async move {
-        let mut client = Client::new(address).patient(call());
+        let mut client = Client::new(address).with_probe(call());
         client.call(&call(), BEGIN_MILLIS).await
     });
-    assert!(matches!(result, Err(Error::Late { .. })));
+    assert!(matches!(result, Err(Error::Timeout { .. })));
     probe_count.load(Ordering::Relaxed)
 }
 
@@ -130,7 +130,7 @@
     actix_rt::System::new().block_on(async move {
         let last_received = Rc::new(Cell::new(None));
         let call = Call::get("/everything".to_owned());
-        let mut client = Client::noting(address, last_received.clone());
+        let mut client = Client::recording(address, last_received.clone());
         client.call(&call, BEGIN_MILLIS).await.expect("a response");
         last_received.get().is_some()
     })
