--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -145,7 +145,7 @@
     loader.update_services(response.services);
     // Kept apart from the gateway's subscriptions, which report more precise ages.
     let source = Teller(!order::hash(&gateway));
-    for release in response.named {
+    for release in response.releases {
         loader.record_peer_release(release, source);
     }
     *loader.fleet.borrow_mut() = response.fleet;
--- a/crates/gingerpier_gateway/src/loader_configuration.rs
+++ b/crates/gingerpier_gateway/src/loader_configuration.rs
@@ -45,13 +45,13 @@
     loop {
         if let Some(configuration) = state.configuration() {
             let services = configuration.services_part().for_loaders();
-            let mut figures = build(&services, &state.fleet.borrow(), clock::now());
-            figures.releases = state.releases();
-            for release in &mut figures.releases {
+            let mut message = build(&services, &state.fleet.borrow(), clock::now());
+            message.releases = state.releases();
+            for release in &mut message.releases {
                 // Ages are rounded up to the next rebuild, until which the message may be served.
                 release.age_millis += REBUILD_INTERVAL_MILLIS;
             }
-            *state.distributor.configuration.borrow_mut() = Some(message::encode(&figures).into());
+            *state.distributor.configuration.borrow_mut() = Some(message::encode(&message).into());
         }
         clock::pause(MIN_REBUILD_INTERVAL_MILLIS).await;
         let next_rebuild = clock::now().after_millis(REBUILD_INTERVAL_MILLIS);
@@ -63,7 +63,7 @@
 /// Builds the response to a loader's request.
 pub fn respond(distributor: &Distributor) -> Vec<u8> {
     match distributor.configuration.borrow().as_ref() {
-        Some(figures) => Message::response(200).body(figures),
+        Some(encoded) => Message::response(200).body(encoded),
         None => Message::response(404).body(b""),
     }
 }
@@ -75,7 +75,7 @@
     /// Engines, known by their addresses.
     pub fleet: Fleet,
     /// Released weights.
-    pub named: Vec<ReportedRelease>,
+    pub releases: Vec<ReportedRelease>,
 }
 
 /// Requests the information from a gateway.
@@ -96,14 +96,14 @@
     if response.head.status != 200 {
         return Err(invalid(dialect::Error::Status(response.head.status)));
     }
-    let figures: Option<ConfigurationPart> = message::decode(&response.body);
-    let figures = figures.ok_or_else(|| {
+    let message: Option<ConfigurationPart> = message::decode(&response.body);
+    let message = message.ok_or_else(|| {
         invalid(dialect::Error::Malformed {
             place: "figures".to_owned(),
             what: "not understood".to_owned(),
         })
     })?;
-    Ok(decode(figures))
+    Ok(decode(message))
 }
 
 /// Builds the message about `services` and the engines of `fleet`; releases are added by the
@@ -128,23 +128,23 @@
 }
 
 /// Converts a decoded message.
-pub fn decode(figures: ConfigurationPart) -> LoaderConfiguration {
+pub fn decode(message: ConfigurationPart) -> LoaderConfiguration {
     let mut fleet = Fleet::default();
-    for engine in &figures.engines {
-        if let Some(record) = decode_engine(engine, &figures) {
+    for engine in &message.engines {
+        if let Some(record) = decode_engine(engine, &message) {
             fleet.list(record, Revision::default());
         }
     }
-    let services = figures.services.into_iter().map(decode_service).collect();
+    let services = message.services.into_iter().map(decode_service).collect();
     LoaderConfiguration {
-        services: Services::told(figures.version, services, figures.weights_digest),
+        services: Services::told(message.version, services, message.weights_digest),
         fleet,
-        named: figures.releases,
+        releases: message.releases,
     }
 }
 
 fn encode_service(service: &Service) -> Option<ServiceEntry> {
-    let figures = match &service.kind {
+    let service_parameters = match &service.kind {
         ServiceKind::Plain => return None,
         ServiceKind::Engines(engines) => ServiceParameters::Engines(EngineParameters {
             slots: engines.slots,
@@ -168,7 +168,7 @@
     Some(ServiceEntry {
         name: service.name.clone(),
         max_connections: service.max_connections,
-        parameters: figures,
+        parameters: service_parameters,
     })
 }
 
@@ -230,15 +230,15 @@
 }
 
 /// Record of an engine; `None` if an index of the message is out of range.
-fn decode_engine(engine: &EngineEntry, figures: &ConfigurationPart) -> Option<Record> {
+fn decode_engine(engine: &EngineEntry, message: &ConfigurationPart) -> Option<Record> {
     let loaded = engine.loaded.iter();
-    let loaded = loaded.filter_map(|weights| weights.decode(&figures.models));
+    let loaded = loaded.filter_map(|weights| weights.decode(&message.models));
     Some(Record {
         // Loaders identify engines by address.
         id: engine.address.to_string(),
-        service: figures.services.get(engine.service as usize)?.name.clone(),
+        service: message.services.get(engine.service as usize)?.name.clone(),
         address: engine.address,
-        zone: figures.zones.get(engine.zone as usize)?.clone(),
+        zone: message.zones.get(engine.zone as usize)?.clone(),
         state: EngineState::Ready,
         slots: 0,
         cold_millis: 0,
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -360,7 +360,7 @@
 /// Applies an update or a digest from another gateway, and responds to it.
 pub fn receive(state: &State, socket: &UdpSocket, update: &Message, from: SocketAddr) {
     let now = clock::now();
-    let (news, refutations) = apply_update(state, update, now);
+    let (new_updates, refutations) = apply_update(state, update, now);
     if !refutations.is_empty() {
         let response = Message {
             completions: refutations,
@@ -369,9 +369,9 @@
         };
         send(state, socket, &response, from);
     }
-    if update.is_to_be_forwarded && !news.is_empty() {
+    if update.is_to_be_forwarded && !new_updates.is_empty() {
         for neighbour in state.zones.borrow().neighbours() {
-            send(state, socket, &news, neighbour);
+            send(state, socket, &new_updates, neighbour);
         }
     }
     let Some(digest) = update.digest else { return };
@@ -396,7 +396,7 @@
 
 /// Applies an update; returns the part of it that is new here, and completions that refute it.
 fn apply_update(state: &State, update: &Message, now: Instant) -> (Message, Vec<CompletionUpdate>) {
-    let mut news = Message::default();
+    let mut new_updates = Message::default();
     let mut refutations: Vec<CompletionUpdate> = Vec::new();
     for report in &update.crashes {
         let crash = report.crash(now);
@@ -408,7 +408,7 @@
             .note_end(crash, engine_count);
         match change {
             Noted::Known => {}
-            Noted::News => news.crashes.push(*report),
+            Noted::News => new_updates.crashes.push(*report),
             Noted::Refuted(version) => refutations.push(completion_update((crash.mark, version))),
         }
     }
@@ -416,7 +416,7 @@
     let mut suspects = state.suspect_state.suspects.borrow_mut();
     for completion in &update.completions {
         if suspects.note_cleared(completion.fingerprint.into(), Version(completion.version)) {
-            news.completions.push(*completion);
+            new_updates.completions.push(*completion);
             // A response to an update that this gateway may also have sent to others.
             if update.is_reply {
                 state.announce_completion(
@@ -432,7 +432,7 @@
             dismissal.account,
             Incarnation(dismissal.engine),
         ) {
-            news.dismissals.push(*dismissal);
+            new_updates.dismissals.push(*dismissal);
         }
     }
     let mut trials = state.suspect_state.trials.borrow_mut();
@@ -441,13 +441,13 @@
             true => trials.note_over(trial_update.fingerprint.into(), trial_update.gateway),
             false => trials.note_begun(trial_update.trial(), now),
         }
-        news.trials.push(*trial_update);
+        new_updates.trials.push(*trial_update);
     }
-    if !news.is_empty() {
+    if !new_updates.is_empty() {
         // Wakes the sending task, which also evaluates the suspects.
         state.suspect_state.has_updates.notify_one();
     }
-    (news, refutations)
+    (new_updates, refutations)
 }
 
 /// Messages with all serious cases.
