--- a/crates/gingerpier_gateway/src/items.rs
+++ b/crates/gingerpier_gateway/src/items.rs
@@ -23,15 +23,15 @@
 
 /// Clears the value of an item that no process uses, so that foreign or invalid entries take no
 /// memory.
-pub fn strip_unused_value(dialect: &dyn Dialect, item: Item) -> Item {
+pub fn strip_unused_value(protocol: &dyn Dialect, item: Item) -> Item {
     let Some(value) = &item.value else {
         return item;
     };
-    let is_used = match dialect.subject(&item.key) {
+    let is_used = match protocol.subject(&item.key) {
         Subject::Configuration | Subject::Weights(_) | Subject::Evacuation(_) => true,
         Subject::Engine(_) => {
             let is_short = value.len() <= MAX_ENTRY_BYTES;
-            is_short && dialect.fact(&item.key, value).is_ok()
+            is_short && protocol.fact(&item.key, value).is_ok()
         }
         Subject::Other => false,
     };
@@ -46,7 +46,7 @@
 
 /// Parses store items and logs each omission once.
 pub struct Parser {
-    dialect: &'static dyn Dialect,
+    protocol: &'static dyn Dialect,
     logged_omissions: RefCell<BTreeSet<Omission>>,
     /// Keys and revisions of invalid items that were logged.
     logged_invalid: RefCell<BTreeSet<(String, u64)>>,
@@ -54,10 +54,10 @@
 }
 
 impl Parser {
-    /// Parser that uses the platform protocol `dialect`.
-    pub const fn new(dialect: &'static dyn Dialect) -> Self {
+    /// Parser that uses the platform protocol `protocol`.
+    pub const fn new(protocol: &'static dyn Dialect) -> Self {
         Self {
-            dialect,
+            protocol,
             logged_omissions: RefCell::new(BTreeSet::new()),
             logged_invalid: RefCell::new(BTreeSet::new()),
             invalid_count: Cell::new(0),
@@ -73,7 +73,7 @@
     pub fn parse(&self, item: &Item) -> Option<Fact> {
         let value = item.value.as_ref()?;
         let revision = item.revision.0;
-        match self.dialect.fact(&item.key, value) {
+        match self.protocol.fact(&item.key, value) {
             Ok(parsed) => {
                 for omission in parsed.omissions {
                     self.log_omission(&item.key, revision, omission);
@@ -93,7 +93,7 @@
             return;
         }
         self.invalid_count.set(self.invalid_count.get() + 1);
-        let is_engine_entry = matches!(self.dialect.subject(key), Subject::Engine(_));
+        let is_engine_entry = matches!(self.protocol.subject(key), Subject::Engine(_));
         if logged_invalid.len() < MAX_LOGGED_INVALID || !is_engine_entry {
             if logged_invalid.len() < MAX_LOGGED_INVALID {
                 logged_invalid.insert((key.to_owned(), revision));
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -85,9 +85,9 @@
     /// Addresses of the seed gateways for loaders.
     seeds: Vec<SocketAddr>,
     /// Platform protocol.
-    pub dialect: &'static dyn Dialect,
+    pub protocol: &'static dyn Dialect,
     /// Parser of store items.
-    pub items: Parser,
+    pub item_parser: Parser,
     /// Chunk cache and transfers.
     pub distributor: Rc<Distributor>,
     /// Subscribed gateways by address.
@@ -115,14 +115,14 @@
 
 impl Loader {
     /// Creates a loader without any data.
-    pub fn new(settings: Settings, dialect: &'static dyn Dialect) -> Self {
+    pub fn new(settings: Settings, protocol: &'static dyn Dialect) -> Self {
         let link = settings.link_bits_per_second;
-        let distributor = Rc::new(Distributor::for_engine(dialect, settings.engine, link));
+        let distributor = Rc::new(Distributor::for_engine(protocol, settings.engine, link));
         Self {
             seeds: Self::seeds(&settings),
             settings,
-            dialect,
-            items: Parser::new(dialect),
+            protocol,
+            item_parser: Parser::new(protocol),
             distributor,
             engine_lock: Mutex::new(()),
             subscribers: RefCell::default(),
@@ -325,7 +325,7 @@
 /// # Errors
 ///
 /// If a socket can't be bound or a signal handler can't be installed.
-pub async fn run(settings: Settings, dialect: &'static dyn Dialect) -> Result<(), Error> {
+pub async fn run(settings: Settings, protocol: &'static dyn Dialect) -> Result<(), Error> {
     let lines = log::start();
     let peer = settings.peers;
     let bind_error = |step| move |what| Error::Io { step, peer, what };
@@ -338,7 +338,7 @@
     let hangup = signal(SignalKind::hangup());
     let mut hangup = hangup.map_err(bind_error(Step::Signals))?;
     tracing::info!(name = settings.name, zone = settings.zone, engine = %settings.engine, "loader starts");
-    let loader = Rc::new(Loader::new(settings, dialect));
+    let loader = Rc::new(Loader::new(settings, protocol));
     actix_rt::spawn(clock::watch());
     actix_rt::spawn(sync::run(loader.clone()));
     actix_rt::spawn(peers::serve(loader.distributor.clone(), listener));
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -34,14 +34,14 @@
 /// releases only if few gateways report them, as each watch costs a store call.
 pub async fn run(loader: Rc<Loader>) {
     let settings = &loader.settings;
-    let mut asking = Asking::new(settings.peers, settings.regions.len(), clock::now());
-    let mut client = store::client(settings.store, loader.dialect);
+    let mut poller = Asking::new(settings.peers, settings.regions.len(), clock::now());
+    let mut client = store::client(settings.store, loader.protocol);
     let mut is_current = false;
     loop {
-        match next_step(&loader, &mut asking) {
+        match next_step(&loader, &mut poller) {
             Step::Gateway(gateway) => {
                 let result = query_gateway(&loader, gateway).await;
-                record_result(&loader, &mut asking, Source::Gateway, result);
+                record_result(&loader, &mut poller, Source::Gateway, result);
             }
             Step::Store => {
                 // A newly known gateway sends far less data than the store. The others have
@@ -52,22 +52,22 @@
                     () = wait_for_informed_gateway(&loader), if has_no_informed_gateway => continue,
                 };
                 is_current = result.is_ok();
-                record_result(&loader, &mut asking, Source::Store, result);
+                record_result(&loader, &mut poller, Source::Store, result);
             }
             Step::Weights if !is_current => {
                 let result = read_store(&loader, &mut client, Scope::Weights).await;
                 is_current = result.is_ok();
-                record_store_result(&mut asking, result);
+                record_store_result(&mut poller, result);
             }
             Step::Weights => {
                 let scope = watch_scope(&loader);
                 let watched = tokio::select! {
                     watched = watch_store(&loader, &mut client, scope) => Some(watched),
-                    () = wait_for_other_step(&loader, &mut asking, scope) => None,
+                    () = wait_for_other_step(&loader, &mut poller, scope) => None,
                 };
                 if let Some(watched) = watched {
                     is_current = matches!(watched, Ok(true));
-                    record_store_result(&mut asking, watched.map(drop));
+                    record_store_result(&mut poller, watched.map(drop));
                     clock::pause(WATCH_PAUSE_MILLIS).await;
                 }
             }
@@ -79,9 +79,9 @@
     }
 }
 
-fn next_step(loader: &Loader, asking: &mut Asking) -> Step {
+fn next_step(loader: &Loader, poller: &mut Asking) -> Step {
     let gateways = loader.informed_gateways();
-    asking.next(&loader.view(&gateways), clock::now())
+    poller.next(&loader.view(&gateways), clock::now())
 }
 
 /// Scope of the store watch. Without any gateway it includes configurations; the next gateway
@@ -102,9 +102,9 @@
 
 /// Returns once another step is due or the watch covers configurations needlessly, as all loaders
 /// would read the next one at once.
-async fn wait_for_other_step(loader: &Loader, asking: &mut Asking, scope: Scope) {
+async fn wait_for_other_step(loader: &Loader, poller: &mut Asking, scope: Scope) {
     loop {
-        let is_due = matches!(next_step(loader, asking), Step::Gateway(_) | Step::Store);
+        let is_due = matches!(next_step(loader, poller), Step::Gateway(_) | Step::Store);
         let is_too_wide = scope == Scope::Operators && self::watch_scope(loader) == Scope::Weights;
         if is_due || is_too_wide {
             return;
@@ -115,10 +115,10 @@
 
 /// Records the result of a configuration poll; data older than that of gateways counts as a
 /// failure.
-fn record_result(loader: &Loader, asking: &mut Asking, source: Source, result: Result<(), Error>) {
+fn record_result(loader: &Loader, poller: &mut Asking, source: Source, result: Result<(), Error>) {
     let knowledge = loader.knowledge();
     match &result {
-        Ok(()) if knowledge == Knowledge::Enough => return asking.note_answer(source),
+        Ok(()) if knowledge == Knowledge::Enough => return poller.note_answer(source),
         Ok(()) => tracing::warn!(
             ?source,
             ?knowledge,
@@ -126,16 +126,16 @@
         ),
         Err(error) => tracing::warn!(?source, cause = %error, "service configuration not received"),
     }
-    asking.note_failure(source, clock::now(), fastrand::u64(..));
+    poller.note_failure(source, clock::now(), fastrand::u64(..));
 }
 
 /// Records the result of a store read or watch for releases.
-fn record_store_result(asking: &mut Asking, result: Result<(), Error>) {
+fn record_store_result(poller: &mut Asking, result: Result<(), Error>) {
     match result {
-        Ok(()) => asking.note_answer(Source::Weights),
+        Ok(()) => poller.note_answer(Source::Weights),
         Err(error) => {
             tracing::warn!(cause = %error, "store does not answer");
-            asking.note_failure(Source::Weights, clock::now(), fastrand::u64(..));
+            poller.note_failure(Source::Weights, clock::now(), fastrand::u64(..));
         }
     }
 }
@@ -162,8 +162,8 @@
             Err(error) => tracing::warn!(cause = %error, "gateway returned no engine list"),
         }
     }
-    let mut client = store::client(loader.settings.store, loader.dialect);
-    match store::read_all(&mut client, loader.dialect, Scope::Engines, true).await {
+    let mut client = store::client(loader.settings.store, loader.protocol);
+    match store::read_all(&mut client, loader.protocol, Scope::Engines, true).await {
         Ok(copy) => {
             let mut fleet = Fleet::default();
             loader.set_fleet_services(&mut fleet);
@@ -177,13 +177,13 @@
 }
 
 fn list_engine(loader: &Loader, fleet: &mut Fleet, item: &Item) {
-    if let Some(Fact::Engine(record)) = loader.items.parse(item) {
+    if let Some(Fact::Engine(record)) = loader.item_parser.parse(item) {
         fleet.list(*record, item.revision);
     }
 }
 
 async fn read_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<(), Error> {
-    let copy = store::read_all(client, loader.dialect, scope, false).await?;
+    let copy = store::read_all(client, loader.protocol, scope, false).await?;
     apply_items(loader, &copy.items, copy.at);
     Ok(())
 }
@@ -191,7 +191,7 @@
 /// Watches `scope`; false if the store has lost the history and has to be read again.
 async fn watch_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<bool, Error> {
     let after = loader.revision.get();
-    match store::watch(client, loader.dialect, scope, after, WATCH_TIMEOUT_MILLIS).await? {
+    match store::watch(client, loader.protocol, scope, after, WATCH_TIMEOUT_MILLIS).await? {
         Watched::HistoryGone => Ok(false),
         Watched::Changes(page) => {
             apply_items(loader, &page.items, page.at);
@@ -202,7 +202,7 @@
 
 fn apply_items(loader: &Loader, items: &[Item], at: Revision) {
     for item in items {
-        match loader.items.parse(item) {
+        match loader.item_parser.parse(item) {
             Some(Fact::Configuration(configuration)) => {
                 loader.update_services(configuration.services_part().for_loaders());
             }
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -139,7 +139,7 @@
     };
     let mut client = Client::new(engine);
     for chunk in 0..manifest.digests.len() as u32 {
-        let call = distributor.dialect.laid_chunk(&model_version.model, chunk);
+        let call = distributor.protocol.laid_chunk(&model_version.model, chunk);
         let Ok(response) = client.call(&call, ENGINE_TIMEOUT_MILLIS).await else {
             return;
         };
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -45,7 +45,7 @@
 /// Chunk cache of a process and the state of its weights transfers.
 pub struct Distributor {
     /// Platform protocol.
-    pub dialect: &'static dyn Dialect,
+    pub protocol: &'static dyn Dialect,
     /// Chunks in memory.
     pub chunk_cache: RefCell<ChunkCache>,
     /// Encoded engine and service configuration for loaders; set on gateways once known.
@@ -71,7 +71,7 @@
 impl Distributor {
     /// Distribution state of a loader next to `engine`, behind a narrow link.
     pub fn for_engine(
-        dialect: &'static dyn Dialect,
+        protocol: &'static dyn Dialect,
         engine: SocketAddr,
         link_bits_per_second: u64,
     ) -> Self {
@@ -80,14 +80,14 @@
             engine: Some(engine),
             pacer: Some(RefCell::new(pacer)),
             upload_permits: Semaphore::new(MAX_UPLOADS_NARROW),
-            ..Self::new(dialect)
+            ..Self::new(protocol)
         }
     }
 
     /// Distribution state of a process behind a wide link.
-    pub fn new(dialect: &'static dyn Dialect) -> Self {
+    pub fn new(protocol: &'static dyn Dialect) -> Self {
         Self {
-            dialect,
+            protocol,
             chunk_cache: RefCell::default(),
             configuration: RefCell::default(),
             engine: None,
--- a/crates/gingerpier_gateway/src/weights/origin_poll.rs
+++ b/crates/gingerpier_gateway/src/weights/origin_poll.rs
@@ -20,9 +20,9 @@
 /// version.
 const POLL_INTERVAL_MILLIS: u64 = 200;
 
-/// Requests the origin's newest manifest for each model for which a search is due.
+/// Requests the origin's newest manifest for each model for which a poll is due.
 pub async fn run(state: Rc<State>) {
-    let mut searches: HashMap<String, Search> = HashMap::new();
+    let mut origin_polls: HashMap<String, Search> = HashMap::new();
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
         let Some(configuration) = state.configuration() else {
@@ -33,27 +33,27 @@
         };
         for (service, model) in models(&configuration) {
             if state.newest_named(model).is_some() {
-                searches.remove(model);
+                origin_polls.remove(model);
                 continue;
             }
-            let seen = observe(&state, service, model);
-            let search = searches.entry(model.to_owned()).or_default();
-            if !search.is_due(&seen, clock::now()) {
+            let observation = observe(&state, service, model);
+            let origin_poll = origin_polls.entry(model.to_owned()).or_default();
+            if !origin_poll.is_due(&observation, clock::now()) {
                 continue;
             }
             let newest = Named {
                 model: model.to_owned(),
                 version: Version::default(),
             };
-            tracing::info!(model, ?seen, origin = %origin.address, "requesting the newest manifest from the origin");
+            tracing::info!(model, seen = ?observation, origin = %origin.address, "requesting the newest manifest from the origin");
             let mut client = Client::new(origin.address);
             match manifest::fetch_from_origin(&state.distributor, &mut client, &newest).await {
                 Some(found) => {
-                    search.note_found(clock::now());
+                    origin_poll.note_found(clock::now());
                     state.note_found(found);
                 }
                 None => {
-                    search.note_failure(clock::now(), fastrand::u64(..));
+                    origin_poll.note_failure(clock::now(), fastrand::u64(..));
                     tracing::warn!(model, origin = %origin.address, "origin returned no valid manifest");
                 }
             }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Number of gateways in this zone that search for `model` before this one.
+/// Number of gateways in this zone that poll the origin for `model` before this one.
 fn rank(state: &State, model: &str) -> u32 {
     let subject = order::hash(model);
     let score = |address| order::score(subject, order::hash(&address));
