--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -2,9 +2,9 @@
 
 use {
     crate::{
-        callers, clock, discovery,
+        clock, discovery,
         error::{Error, Step},
-        figures, log, members, reports,
+        loader_configuration, log, members, proxy, reports,
         state::State,
         store, store_sharing, suspects,
         weights::{self, peers},
@@ -41,14 +41,14 @@
 
 async fn listen(step: Step, peer: SocketAddr) -> Result<TcpListener, Error> {
     let listener = TcpListener::bind(peer).await;
-    listener.map_err(|what| Error::Io { step, peer, what })
+    listener.map_err(|cause| Error::Io { step, peer, cause })
 }
 
 fn signal_stream(kind: SignalKind, peer: SocketAddr) -> Result<Signal, Error> {
-    signal(kind).map_err(|what| Error::Io {
+    signal(kind).map_err(|cause| Error::Io {
         step: Step::Signals,
         peer,
-        what,
+        cause,
     })
 }
 
@@ -65,10 +65,10 @@
     let peer_address = settings.peers;
     let socket = UdpSocket::bind(peer_address)
         .await
-        .map_err(|what| Error::Io {
+        .map_err(|cause| Error::Io {
             step: Step::ListenPeers,
             peer: peer_address,
-            what,
+            cause,
         })?;
     let chunk_listener = listen(Step::ListenPeers, peer_address).await?;
     let mut terminate = signal_stream(SignalKind::terminate(), settings.callers)?;
@@ -84,7 +84,7 @@
     actix_rt::spawn(store_sharing::serve(state.clone(), control_listener));
     actix_rt::spawn(store_sharing::run(state.clone()));
     actix_rt::spawn(peers::serve(state.distributor.clone(), chunk_listener));
-    actix_rt::spawn(figures::run(state.clone()));
+    actix_rt::spawn(loader_configuration::run(state.clone()));
     if state.settings.carries_weights {
         actix_rt::spawn(weights::relay::run(state.clone()));
         actix_rt::spawn(weights::origin_poll::run(state.clone()));
@@ -95,7 +95,7 @@
     actix_rt::spawn(suspects::send_digests(state.clone(), socket.clone()));
     actix_rt::spawn(reports::receive(state.clone(), socket));
     actix_rt::spawn(serve_readiness(state.clone(), readiness_listener));
-    actix_rt::spawn(callers::accept(state.clone(), caller_listener));
+    actix_rt::spawn(proxy::accept(state.clone(), caller_listener));
     actix_rt::spawn(sweep(state.clone()));
     actix_rt::spawn(run_ticks(state.clone()));
     actix_rt::spawn(log_hangups(hangup));
@@ -128,7 +128,7 @@
         state
             .metrics
             .unparsed_items
-            .set(state.items.invalid_count() as i64);
+            .set(state.item_parser.invalid_count() as i64);
         state.update_suspect_metrics();
         let fleet = state.fleet.borrow();
         let is_present = |key: &_| !fleet.engine(*key).is_gone;
--- a/crates/gingerpier_gateway/src/figures.rs
+++ b/crates/gingerpier_gateway/src/loader_configuration.rs
@@ -56,12 +56,12 @@
         clock::pause(MIN_REBUILD_INTERVAL_MILLIS).await;
         let next_rebuild = clock::now().after_millis(REBUILD_INTERVAL_MILLIS);
         // Rebuilds on a change and on a timeout alike.
-        let _ = clock::before(next_rebuild, state.news.notified()).await;
+        let _ = clock::before(next_rebuild, state.mirror_changed.notified()).await;
     }
 }
 
 /// Builds the response to a loader's request.
-pub fn reply(distributor: &Distributor) -> Vec<u8> {
+pub fn respond(distributor: &Distributor) -> Vec<u8> {
     match distributor.configuration.borrow().as_ref() {
         Some(figures) => Message::response(200).body(figures),
         None => Message::response(404).body(b""),
@@ -84,14 +84,14 @@
 ///
 /// Fails if the gateway does not respond in time, has no information yet or sends an invalid
 /// message.
-pub async fn ask(gateway: SocketAddr) -> Result<LoaderConfiguration, Error> {
+pub async fn fetch(gateway: SocketAddr) -> Result<LoaderConfiguration, Error> {
     let mut client = Client::new(gateway);
     let request = Call::get(PATH.to_owned());
     let response = client.call(&request, RESPONSE_TIMEOUT_MILLIS).await?;
-    let invalid = |what| Error::Answer {
-        step: Step::Read,
+    let invalid = |cause| Error::Response {
+        step: Step::Parse,
         peer: gateway,
-        what,
+        cause,
     };
     if response.head.status != 200 {
         return Err(invalid(dialect::Error::Status(response.head.status)));
--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -133,7 +133,7 @@
                 target_share: 1.0,
                 fairness: Even::default(),
                 allowed_regions: Homes::ANYWHERE,
-                cold_limits: self.cold_terms(service),
+                cold_limits: self.cold_limits(service),
                 zone: &self.settings.zone,
                 gateway_count: self.zones.borrow().gateway_count(),
                 other_arrivals_per_milli: 0.0,
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -61,19 +61,19 @@
 
 /// Copy of the store, which may be partially read.
 #[derive(Debug, Default)]
-pub struct Copy {
+pub struct FullCopy {
     /// Items that were read.
     pub items: Vec<Item>,
     /// Revision of the first page. Pages are not one snapshot, so a watch has to continue from
     /// here.
-    pub at: Revision,
+    pub revision: Revision,
     /// Revision of the last page.
-    pub newest_at: Revision,
+    pub last_page_revision: Revision,
     /// When the first page was requested.
     started: Option<Instant>,
 }
 
-impl Copy {
+impl FullCopy {
     /// Reads the missing pages; returns when the first page was requested. Pages are kept on an
     /// error, so the next call resumes after them.
     ///
@@ -101,9 +101,9 @@
             let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
             let page = read_page(client.peer(), dialect, &response)?;
             if is_first_page {
-                self.at = page.at;
+                self.revision = page.at;
             }
-            self.newest_at = page.at;
+            self.last_page_revision = page.at;
             let items = page.items.into_iter();
             self.items
                 .extend(items.map(|item| strip_unused_value(dialect, item)));
@@ -119,13 +119,13 @@
 /// # Errors
 ///
 /// Fails if a page can't be read.
-pub async fn read_all(
+pub async fn read_full(
     client: &mut Client,
     dialect: &dyn Dialect,
     scope: Scope,
     stale: bool,
-) -> Result<Copy, Error> {
-    let mut copy = Copy::default();
+) -> Result<FullCopy, Error> {
+    let mut copy = FullCopy::default();
     copy.read(client, dialect, scope, stale).await?;
     Ok(copy)
 }
@@ -143,10 +143,10 @@
 
 fn read_page(peer: SocketAddr, dialect: &dyn Dialect, response: &Whole) -> Result<Page, Error> {
     let page = dialect.read_list(response.head.status, &response.body);
-    page.map_err(|what| Error::Answer {
-        step: Operation::Read,
+    page.map_err(|cause| Error::Response {
+        step: Operation::Parse,
         peer,
-        what,
+        cause,
     })
 }
 
@@ -165,10 +165,10 @@
     let request = dialect.watch(scope, after, millis);
     let response = client.call(&request, millis + WATCH_SLACK_MILLIS).await?;
     let watched = dialect.read_watch(response.head.status, &response.body);
-    watched.map_err(|what| Error::Answer {
-        step: Operation::Read,
+    watched.map_err(|cause| Error::Response {
+        step: Operation::Parse,
         peer: client.peer(),
-        what,
+        cause,
     })
 }
 
@@ -176,7 +176,7 @@
 struct Polling {
     client: Client,
     /// Partial copy.
-    copy: Copy,
+    copy: FullCopy,
     /// True if a watch is not enough and a full copy is needed.
     needs_copy: bool,
     /// True if the last watch returned nothing although the store had changed.
@@ -192,7 +192,7 @@
     let client = Client::recording(state.settings.store, state.store_received_at.clone());
     let mut polling = Polling {
         client: client.with_probe(small_request(state.dialect)),
-        copy: Copy::default(),
+        copy: FullCopy::default(),
         needs_copy: false,
         has_missed_changes: false,
         consecutive_failures: 0,
@@ -201,10 +201,10 @@
     let mut last_kind = None;
     loop {
         let has_copy = state.mirror.borrow().at() > Revision::default();
-        let step = watching.next(&state.neighbours(), has_copy, clock::now());
+        let step = watching.next(&state.neighbour_addresses(), has_copy, clock::now());
         let kind = std::mem::discriminant(&step);
         if last_kind.replace(kind) != Some(kind) && matches!(step, Step::Store | Step::Probe) {
-            tracing::info!(?step, has_copy, age = ?state.contact_age(), "store is asked by this gateway");
+            tracing::info!(?step, has_copy, age = ?state.contact_age_millis(), "store is asked by this gateway");
         }
         match step {
             Step::Store => poll_store(&state, &mut polling).await,
@@ -227,7 +227,7 @@
                         clock::pause(POLL_PAUSE_MILLIS).await;
                     }
                     Err(failure) => {
-                        tracing::info!(watcher = %member, ?failure, age = ?state.contact_age(), "poll of a watching gateway failed; trying another one");
+                        tracing::info!(watcher = %member, ?failure, age = ?state.contact_age_millis(), "poll of a watching gateway failed; trying another one");
                         watching.note_failure(member, failure, clock::now());
                     }
                 }
@@ -254,13 +254,13 @@
             polling.consecutive_failures = 0;
             // A watch that missed changes, or a pending full read, does not prove freshness.
             if let Some(fresh_at) = fresh_at {
-                state.note_contact(0);
+                state.record_contact(0);
                 state.record_fresh(fresh_at);
                 clock::pause(WATCH_PAUSE_MILLIS).await;
             }
         }
         Err(error) => {
-            state.note_store_failure(&error);
+            state.record_store_failure(&error);
             polling.back_off().await;
         }
     }
@@ -278,13 +278,13 @@
     watching.note_probe(is_ahead, elapsed_millis, clock::now());
     match is_current {
         Ok(true) => {
-            state.note_contact(0);
+            state.record_contact(0);
             state.record_fresh(requested);
             clock::pause(WATCH_PAUSE_MILLIS).await;
         }
         Ok(false) => {}
         Err(error) => {
-            state.note_store_failure(&error);
+            state.record_store_failure(&error);
             polling.back_off().await;
         }
     }
@@ -310,8 +310,8 @@
         .read(client, state.dialect, Scope::Everything, false)
         .await?;
     let copy = std::mem::take(&mut polling.copy);
-    state.record_store_response(copy.newest_at);
-    state.replace(copy.items, copy.at);
+    state.record_store_response(copy.last_page_revision);
+    state.replace_mirror(copy.items, copy.revision);
     polling.needs_copy = false;
     polling.has_missed_changes = false;
     Ok(started)
@@ -332,7 +332,7 @@
     };
     let watched = watch(client, state.dialect, Scope::Everything, after, wait_millis).await;
     client.max_body_bytes = MAX_RESPONSE_BYTES;
-    let is_too_long = |error: &Error| matches!(error, Error::Http { what, .. } if *what == gingerpier_http1::error::Error::BodyTooLong);
+    let is_too_long = |error: &Error| matches!(error, Error::Http { cause, .. } if *cause == gingerpier_http1::error::Error::BodyTooLong);
     if watched.as_ref().is_err_and(is_too_long) {
         tracing::info!(
             after = after.0,
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -13,7 +13,7 @@
             self, CompletionUpdate, CrashUpdate, Datagram, DismissalUpdate, Suspects as Message,
             TrialUpdate,
         },
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     gingerpier_base::{Instant, order},
@@ -154,7 +154,7 @@
 
     /// Dismisses the crashes of held requests whose fingerprints begin with `prefix`; returns the
     /// number of requests.
-    pub fn release(&self, prefix: &str) -> usize {
+    pub fn dismiss_held(&self, prefix: &str) -> usize {
         let mut suspects = self.suspect_state.suspects.borrow_mut();
         let held = suspects
             .held()
@@ -179,7 +179,7 @@
 
     /// Held requests, one per line: fingerprint, number of crashed engines, and ids of those that
     /// are known here.
-    pub fn held_text(&self) -> String {
+    pub fn held_requests_text(&self) -> String {
         let suspects = self.suspect_state.suspects.borrow();
         let line = |(mark, case): (Mark, &Case)| {
             let engines = self.engine_ids(case).join(",");
@@ -328,7 +328,9 @@
 
 fn send(state: &State, socket: &UdpSocket, message: &Message, receiver: SocketAddr) {
     let bytes = message::encode(&Datagram::Suspects(message.clone()));
-    state.metrics.note_message(Kind::Suspects, bytes.len());
+    state
+        .metrics
+        .record_message(MessageKind::Suspects, bytes.len());
     // A datagram that is not sent counts as lost: it is repeated, or the next digest reveals the
     // gap.
     let _ = socket.try_send_to(&bytes, receiver);
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Distributor,
-    crate::{client::Client, clock, figures, store_sharing},
+    crate::{client::Client, clock, loader_configuration, store_sharing},
     bytes::Bytes,
     gingerpier_http1::{connection::Connection, head::Request, writer::Message},
     gingerpier_serving::{dialect::Named, report::Version},
@@ -132,8 +132,8 @@
 
 async fn build_response(distributor: &Distributor, request: &Request) -> Vec<u8> {
     let target = std::str::from_utf8(request.target()).unwrap_or_default();
-    if target == figures::PATH {
-        return figures::reply(distributor);
+    if target == loader_configuration::PATH {
+        return loader_configuration::respond(distributor);
     }
     let Some(peer_request) = PeerRequest::parse(target) else {
         return Message::response(404).body(b"");
