--- a/crates/gingerpier_benches/benches/routing.rs
+++ b/crates/gingerpier_benches/benches/routing.rs
@@ -10,8 +10,8 @@
     },
     gingerpier_routing::{
         Limits, Router,
-        limits::Demand,
-        router::{Ask, Policy},
+        limits::Utilization,
+        router::{Criteria, Policy},
     },
     std::hint::black_box,
 };
@@ -136,7 +136,7 @@
         .map(|_| {
             boxes
                 .iter_mut()
-                .map(|held| held.add(RATE, now))
+                .map(|held| held.add_account(RATE, now))
                 .collect::<Vec<_>>()
         })
         .collect();
@@ -149,7 +149,7 @@
     for millis in 0..MILLIS {
         while ends.front().is_some_and(|(at, ..)| *at <= millis) {
             if let Some((_, entry, account)) = ends.pop_front() {
-                boxes[entry].finished(accounts[account][entry]);
+                boxes[entry].record_request_end(accounts[account][entry]);
             }
         }
         for account in 0..10 {
@@ -164,14 +164,14 @@
             }
             sent[account] += 1;
             let entry = random.usize(..ENTRIES as usize);
-            let demand = Demand {
+            let utilization = Utilization {
                 load: ends.len() as u64,
                 capacity: 400,
-                sharers: ENTRIES,
+                entry_boxes: ENTRIES,
             };
             let at = Instant::from_millis(millis);
             if boxes[entry]
-                .admit(accounts[account][entry], demand, at)
+                .admit(accounts[account][entry], utilization, at)
                 .is_ok()
             {
                 admitted[account] += 1;
@@ -199,22 +199,22 @@
     let pools: Vec<_> = (0..10).map(|_| router.add_pool()).collect();
     for index in 0..engines {
         let engine = router.add_engine(8);
-        router.join(pools[index % pools.len()], engine);
+        router.add_to_pool(pools[index % pools.len()], engine);
     }
     let now = Instant::from_millis(0);
     let start = cpu_nanos();
     for index in 0..DECISIONS {
         let near = index % (pools.len() - 2);
-        let prefix = Some(gingerpier_base::order::mix(index as u64 / 4));
-        let ask = Ask {
+        let prefix_hash = Some(gingerpier_base::order::mix(index as u64 / 4));
+        let criteria = Criteria {
             pools: &pools[near..near + 3],
-            prefix,
+            prefix_hash,
             tried: &[],
             now,
         };
-        if let Ok(engine) = black_box(router.choose(ask)) {
-            router.started(engine);
-            router.finished(engine);
+        if let Ok(engine) = black_box(router.choose(criteria)) {
+            router.record_request_start(engine);
+            router.record_request_end(engine);
         }
     }
     (cpu_nanos() - start) as f64 / DECISIONS as f64
--- a/crates/gingerpier_benches/src/routing.rs
+++ b/crates/gingerpier_benches/src/routing.rs
@@ -8,7 +8,7 @@
     gingerpier_base::{Instant, order},
     gingerpier_routing::{
         Router,
-        router::{Ask, EngineKey, Policy, PoolKey},
+        router::{Criteria, EngineKey, Policy, PoolKey},
     },
     hdrhistogram::Histogram,
     std::{
@@ -234,7 +234,7 @@
             for _ in 0..setting.engines {
                 // The queue's length is what is measured; capacity must not refuse.
                 let engine = router.add_engine(u32::MAX / 2);
-                router.join(pool, engine);
+                router.add_to_pool(pool, engine);
             }
             let none = vec![0; setting.engines];
             Entry {
@@ -359,7 +359,7 @@
         let now = Instant::from_millis(self.now / 1_000);
         self.entries[entry]
             .router
-            .observe(EngineKey(engine as u32), others, now);
+            .record_observed_load(EngineKey(engine as u32), others, now);
     }
 
     fn place(&mut self, request: usize, engine: usize) {
@@ -382,7 +382,7 @@
         }
         let held = &mut self.entries[entry];
         held.own[engine] += 1;
-        held.router.started(EngineKey(engine as u32));
+        held.router.record_request_start(EngineKey(engine as u32));
         self.engines[engine].by_entry[entry] += 1;
         self.engines[engine].queue.push_back(Waiting {
             entry,
@@ -420,7 +420,7 @@
         self.entries[entry].own[engine] -= 1;
         self.entries[entry]
             .router
-            .finished(EngineKey(engine as u32));
+            .record_request_end(EngineKey(engine as u32));
         self.fill(engine);
     }
 
@@ -445,9 +445,12 @@
         let at = Instant::from_millis(taken / 1_000);
         for (entry, others) in self.entries.iter_mut().zip(report) {
             for (engine, others) in others.iter().enumerate() {
-                entry
-                    .router
-                    .report(EngineKey(engine as u32), *others, u32::MAX / 2, at);
+                entry.router.record_load_report(
+                    EngineKey(engine as u32),
+                    *others,
+                    u32::MAX / 2,
+                    at,
+                );
             }
             entry.reported = others;
         }
@@ -491,19 +494,19 @@
                 }
             }
             Choice::Shipped | Choice::ShippedWithPrefixes => {
-                let prefix =
+                let prefix_hash =
                     (self.choice == Choice::ShippedWithPrefixes).then(|| order::mix(group + 1));
                 let now = Instant::from_millis(self.now / 1_000);
                 let held = &mut self.entries[entry];
                 let pools = [held.pool];
-                let ask = Ask {
+                let criteria = Criteria {
                     pools: &pools,
-                    prefix,
+                    prefix_hash,
                     tried,
                     now,
                 };
                 held.router
-                    .choose(ask)
+                    .choose(criteria)
                     .map_or(start, |engine| engine.0 as usize)
             }
         }
--- a/crates/gingerpier_daemon/src/entry/callers.rs
+++ b/crates/gingerpier_daemon/src/entry/callers.rs
@@ -311,7 +311,7 @@
         self.admit(job.account_key)?;
         let granted = self.grant(request, &job).await;
         let settled = granted.inspect_err(|_| {
-            self.limits.borrow_mut().finished(job.account_key);
+            self.limits.borrow_mut().record_request_end(job.account_key);
         });
         job.grant = settled?;
         let id = job.request.clone();
--- a/crates/gingerpier_daemon/src/entry/fleet.rs
+++ b/crates/gingerpier_daemon/src/entry/fleet.rs
@@ -104,7 +104,7 @@
         for reported in &status.engines {
             let key = self.key(server, name, zone, reported);
             self.router
-                .report(key, reported.others, reported.capacity, clock::now());
+                .record_load_report(key, reported.others, reported.capacity, clock::now());
             if let Some(engine) = self.engines.get_mut(&key) {
                 engine.server = server;
                 engine.status = reported.clone();
@@ -183,10 +183,10 @@
         }
         let held = self.router.pools_of(key).to_vec();
         for pool in held.iter().filter(|pool| !wanted.contains(pool)) {
-            self.router.leave(*pool, key);
+            self.router.remove_from_pool(*pool, key);
         }
         for pool in wanted.into_iter().filter(|pool| !held.contains(pool)) {
-            self.router.join(pool, key);
+            self.router.add_to_pool(pool, key);
         }
     }
 }
--- a/crates/gingerpier_daemon/src/entry/job.rs
+++ b/crates/gingerpier_daemon/src/entry/job.rs
@@ -197,7 +197,7 @@
             self.pools_of(&offer, &zones)
         };
         let mut sets: Vec<Vec<PoolKey>> = admitted.iter().map(pools).collect();
-        match self.fleet.borrow_mut().router().draw_pools(&sets, tried) {
+        match self.fleet.borrow_mut().router().select_pools(&sets, tried) {
             Some(drawn) => (Some(admitted.swap_remove(drawn)), sets.swap_remove(drawn)),
             None => (None, Vec::new()),
         }
--- a/crates/gingerpier_daemon/src/entry/mod.rs
+++ b/crates/gingerpier_daemon/src/entry/mod.rs
@@ -25,7 +25,7 @@
     gingerpier_once::Claims,
     gingerpier_routing::{
         Budget, Limits,
-        limits::{AccountKey, Demand},
+        limits::{AccountKey, Utilization},
     },
     gingerpier_settings::Entry as Settings,
     std::{
@@ -171,18 +171,18 @@
         let mut accounts = self.accounts.borrow_mut();
         let key = accounts
             .entry(name.clone())
-            .or_insert_with(|| limits.add(rate, clock::now()));
+            .or_insert_with(|| limits.add_account(rate, clock::now()));
         limits.set_rate(*key, rate);
         *key
     }
 
     /// Engines' load and capacity, and how many entry boxes share it.
-    pub fn demand(&self) -> Demand {
+    pub fn demand(&self) -> Utilization {
         let (load, capacity) = self.fleet.borrow().load_and_capacity();
-        Demand {
+        Utilization {
             load,
             capacity,
-            sharers: self.live_entries(None).len() as u32,
+            entry_boxes: self.live_entries(None).len() as u32,
         }
     }
 
--- a/crates/gingerpier_daemon/src/entry/requests.rs
+++ b/crates/gingerpier_daemon/src/entry/requests.rs
@@ -15,7 +15,7 @@
         dedup::{self, AttemptKey, Revocation},
         lifecycle::{Action, Event, Lifecycle, Reason},
     },
-    gingerpier_routing::router::{Ask, EngineKey, Refusal},
+    gingerpier_routing::router::{Criteria, EngineKey, Refusal},
     gingerpier_wire::{
         Reply, Request,
         frame::{Attempt, Head},
@@ -78,7 +78,7 @@
     /// Drives a request to its end.
     pub async fn drive(self: Rc<Self>, job: Job, outlet: Outlet) {
         self.begin_request();
-        self.budget.borrow_mut().earn();
+        self.budget.borrow_mut().record_first_attempt();
         let resumable = matches!(job.target, Target::Model(_));
         let tries = self.settings.requests.tries;
         let lifecycle = Lifecycle::new(job.idempotency, job.deadline, tries, resumable);
@@ -114,7 +114,7 @@
             actions = self.step(event);
         }
         let account = self.job.account_key;
-        self.entry.limits.borrow_mut().finished(account);
+        self.entry.limits.borrow_mut().record_request_end(account);
     }
 
     fn step(&mut self, event: Event) -> [Option<Action>; 2] {
@@ -186,7 +186,7 @@
         let now = clock::now();
         // Only a request that may have run costs of the budget: a refusal at the door is cheap.
         if self.lifecycle.may_have_run() {
-            if !self.entry.budget.borrow_mut().spend() {
+            if !self.entry.budget.borrow_mut().try_spend() {
                 return Event::NoneFree(now.after_millis(NO_ENGINE_MILLIS));
             }
             self.entry.process.metrics.retries.inc();
@@ -213,13 +213,13 @@
         let held = held.filter(|_| self.passed.head);
         let (admitted, pools) = self.entry.pools_for(&self.job, held, excluded);
         let now = clock::now();
-        let ask = Ask {
+        let criteria = Criteria {
             pools: &pools,
-            prefix: self.job.prefix,
+            prefix_hash: self.job.prefix,
             tried: excluded,
             now,
         };
-        let chosen = self.entry.fleet.borrow_mut().router().choose(ask)?;
+        let chosen = self.entry.fleet.borrow_mut().router().choose(criteria)?;
         Ok(self.take_choice(chosen, admitted))
     }
 
@@ -257,13 +257,13 @@
             .fleet
             .borrow_mut()
             .router()
-            .started(choice.engine);
+            .record_request_start(choice.engine);
         let event = self.attempt_over(key, &choice, &link).await;
         self.entry
             .fleet
             .borrow_mut()
             .router()
-            .finished(choice.engine);
+            .record_request_end(choice.engine);
         if event == Event::Refused(dedup::Refusal::Full) && self.seeking {
             self.bounced.push(choice.engine);
             self.seeking = self.bounced.len() < MOST_BOUNCES;
@@ -331,7 +331,9 @@
             Told::Event(event) => Some(event),
             Told::Load(others) => {
                 let mut fleet = self.entry.fleet.borrow_mut();
-                fleet.router().observe(choice.engine, others, clock::now());
+                fleet
+                    .router()
+                    .record_observed_load(choice.engine, others, clock::now());
                 None
             }
         }
--- a/crates/gingerpier_routing/src/budget.rs
+++ b/crates/gingerpier_routing/src/budget.rs
@@ -21,12 +21,12 @@
 
 impl Budget {
     /// Records a first attempt, which adds a fraction of a retry.
-    pub fn earn(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.units = (self.units + 1).min(MAX_RETRIES * REQUESTS_PER_RETRY);
     }
 
     /// Consumes one retry; false if the budget is exhausted.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let is_available = self.units >= REQUESTS_PER_RETRY;
         if is_available {
             self.units -= REQUESTS_PER_RETRY;
--- a/crates/gingerpier_routing/src/lib.rs
+++ b/crates/gingerpier_routing/src/lib.rs
@@ -7,16 +7,16 @@
 //!
 //! ```
 //! use gingerpier_base::time::Instant;
-//! use gingerpier_routing::router::{Ask, Policy, Router};
+//! use gingerpier_routing::router::{Criteria, Policy, Router};
 //!
 //! let mut router = Router::new(Policy::default(), 1);
 //! let engine = router.add_engine(4);
 //! let pool = router.add_pool();
-//! router.join(pool, engine);
+//! router.add_to_pool(pool, engine);
 //! let now = Instant::from_millis(0);
-//! let ask = Ask { pools: &[pool], prefix: None, tried: &[], now };
-//! assert_eq!(router.choose(ask), Ok(engine));
-//! router.started(engine);
+//! let criteria = Criteria { pools: &[pool], prefix_hash: None, tried: &[], now };
+//! assert_eq!(router.choose(criteria), Ok(engine));
+//! router.record_request_start(engine);
 //! assert_eq!(router.in_flight(engine), 1);
 //! ```
 
--- a/crates/gingerpier_routing/src/limits.rs
+++ b/crates/gingerpier_routing/src/limits.rs
@@ -34,13 +34,13 @@
 
 /// Load and capacity of the engines, as known to this entry box.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Demand {
+pub struct Utilization {
     /// Requests at the engines, running and queued.
     pub load: u64,
     /// Requests that the engines run concurrently.
     pub capacity: u64,
     /// Entry boxes that share the capacity.
-    pub sharers: u32,
+    pub entry_boxes: u32,
 }
 
 /// Token buckets and requests in flight of all accounts at one entry box.
@@ -52,7 +52,7 @@
 
 impl Limits {
     /// Adds an account limited to `rate` requests per second over all entry boxes.
-    pub fn add(&mut self, rate: u32, now: Instant) -> AccountKey {
+    pub fn add_account(&mut self, rate: u32, now: Instant) -> AccountKey {
         let units = u64::from(rate) * BURST_SECONDS * REQUEST_UNITS;
         self.buckets.push(Bucket {
             rate,
@@ -76,17 +76,20 @@
     pub fn admit(
         &mut self,
         account: AccountKey,
-        demand: Demand,
+        utilization: Utilization,
         now: Instant,
     ) -> Result<(), Instant> {
-        let sharers = u64::from(demand.sharers.max(1));
+        let entry_boxes = u64::from(utilization.entry_boxes.max(1));
         let active_accounts = u64::from(self.active_accounts.max(1));
         let bucket = &mut self.buckets[account.0 as usize];
-        bucket.refill(sharers, now);
+        bucket.refill(entry_boxes, now);
         if bucket.units < REQUEST_UNITS {
-            return Err(now.after_millis(bucket.millis_to_next_token(sharers)));
+            return Err(now.after_millis(bucket.millis_to_next_token(entry_boxes)));
         }
-        let limit = max_in_flight(demand.capacity / sharers / active_accounts, demand);
+        let limit = max_in_flight(
+            utilization.capacity / entry_boxes / active_accounts,
+            utilization,
+        );
         if u64::from(bucket.in_flight) >= limit {
             return Err(now.after_millis(SHARE_RETRY_MILLIS));
         }
@@ -97,7 +100,7 @@
     }
 
     /// Records the end of an admitted request.
-    pub fn finished(&mut self, account: AccountKey) {
+    pub fn record_request_end(&mut self, account: AccountKey) {
         let bucket = &mut self.buckets[account.0 as usize];
         bucket.in_flight -= 1;
         self.active_accounts -= u32::from(bucket.in_flight == 0);
@@ -112,8 +115,8 @@
 /// Maximum requests in flight of one account, given its fair share: unlimited below
 /// [`CONTENDED_PERCENT`], then decreasing linearly from [`MAX_SHARES`] shares to one at
 /// [`OVERLOAD_PERCENT`].
-fn max_in_flight(share: u64, demand: Demand) -> u64 {
-    let percent = demand.load * 100 / demand.capacity.max(1);
+fn max_in_flight(share: u64, utilization: Utilization) -> u64 {
+    let percent = utilization.load * 100 / utilization.capacity.max(1);
     if percent < CONTENDED_PERCENT {
         return u64::MAX;
     }
@@ -124,19 +127,19 @@
 }
 
 impl Bucket {
-    fn refill(&mut self, sharers: u64, now: Instant) {
+    fn refill(&mut self, entry_boxes: u64, now: Instant) {
         let rate = u64::from(self.rate);
-        let refilled_units = now.millis_since(self.refilled_at) * rate / sharers;
+        let refilled_units = now.millis_since(self.refilled_at) * rate / entry_boxes;
         // Keeps the remainder of less than one unit for the next refill.
         if refilled_units > 0 {
             self.refilled_at = now;
         }
-        let max_units = (rate * BURST_SECONDS * REQUEST_UNITS / sharers).max(REQUEST_UNITS);
+        let max_units = (rate * BURST_SECONDS * REQUEST_UNITS / entry_boxes).max(REQUEST_UNITS);
         self.units = (self.units + refilled_units).min(max_units);
     }
 
-    fn millis_to_next_token(&self, sharers: u64) -> u64 {
+    fn millis_to_next_token(&self, entry_boxes: u64) -> u64 {
         let missing_units = REQUEST_UNITS - self.units;
-        (missing_units * sharers).div_ceil(u64::from(self.rate.max(1)))
+        (missing_units * entry_boxes).div_ceil(u64::from(self.rate.max(1)))
     }
 }
--- a/crates/gingerpier_routing/src/router.rs
+++ b/crates/gingerpier_routing/src/router.rs
@@ -24,29 +24,29 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Policy {
     /// Engines compared per choice; smaller pools are scanned whole; default 16.
-    pub draws: u32,
+    pub sample_size: u32,
     /// Age in milliseconds at which a load report is ignored; default 400.
     pub stale_millis: u64,
     /// Highest load of a prefix's engine, in percent of the pool's mean; default 125.
     pub prefix_percent: u32,
     /// Highest load at which an engine accepts requests of other zones, in percent of its capacity;
     /// default 80.
-    pub spill_percent: u32,
+    pub spillover_percent: u32,
     /// Highest load including queued requests, in percent of an engine's capacity; default 200.
     pub queue_percent: u32,
     /// Retry delay in milliseconds for each request above the limit; default 20.
-    pub wait_millis: u64,
+    pub retry_after_millis: u64,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
-            draws: 16,
+            sample_size: 16,
             stale_millis: 400,
             prefix_percent: 125,
-            spill_percent: 80,
+            spillover_percent: 80,
             queue_percent: 200,
-            wait_millis: 20,
+            retry_after_millis: 20,
         }
     }
 }
@@ -56,7 +56,7 @@
     const fn load_limit_percent(&self, allow_queueing: bool, is_own_zone: bool) -> u32 {
         match (allow_queueing, is_own_zone) {
             (false, true) => 100,
-            (false, false) => self.spill_percent,
+            (false, false) => self.spillover_percent,
             (true, true) => self.queue_percent,
             // Only the zone's own requests may queue.
             (true, false) => 100,
@@ -66,11 +66,11 @@
 
 /// Input of a routing decision.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Criteria<'a> {
     /// Pools of the requested version, nearest zone first.
     pub pools: &'a [PoolKey],
     /// Hash of the prompt's prefix; enables prefix affinity.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Engines to skip, because earlier attempts used them.
     pub tried: &'a [EngineKey],
     /// Time of the decision.
@@ -158,7 +158,7 @@
     }
 
     /// Adds an engine to a pool; no effect if it is a member already.
-    pub fn join(&mut self, pool: PoolKey, engine: EngineKey) {
+    pub fn add_to_pool(&mut self, pool: PoolKey, engine: EngineKey) {
         let Engine {
             own_requests,
             other_requests,
@@ -180,7 +180,7 @@
     }
 
     /// Removes an engine from a pool.
-    pub fn leave(&mut self, pool: PoolKey, engine: EngineKey) {
+    pub fn remove_from_pool(&mut self, pool: PoolKey, engine: EngineKey) {
         let Engine {
             own_requests,
             other_requests,
@@ -212,7 +212,13 @@
     /// Updates an engine's capacity and the load from other entry boxes, as measured at `at`.
     ///
     /// Reports older than the latest one are ignored.
-    pub fn report(&mut self, engine: EngineKey, other_requests: u32, capacity: u32, at: Instant) {
+    pub fn record_load_report(
+        &mut self,
+        engine: EngineKey,
+        other_requests: u32,
+        capacity: u32,
+        at: Instant,
+    ) {
         let state = &mut self.engines[engine.0 as usize];
         if at < state.reported_at {
             return;
@@ -230,19 +236,19 @@
     }
 
     /// Updates the load from other entry boxes with a value that came with a response or refusal.
-    pub fn observe(&mut self, engine: EngineKey, other_requests: u32, now: Instant) {
+    pub fn record_observed_load(&mut self, engine: EngineKey, other_requests: u32, now: Instant) {
         let capacity = self.engine(engine).capacity;
-        self.report(engine, other_requests, capacity, now);
+        self.record_load_report(engine, other_requests, capacity, now);
     }
 
     /// Records a request that this process sent to `engine`.
-    pub fn started(&mut self, engine: EngineKey) {
+    pub fn record_request_start(&mut self, engine: EngineKey) {
         self.engines[engine.0 as usize].own_requests += 1;
         self.adjust_pool_loads(engine, 1);
     }
 
     /// Records the end of a request that this process sent to `engine`.
-    pub fn finished(&mut self, engine: EngineKey) {
+    pub fn record_request_end(&mut self, engine: EngineKey) {
         self.engines[engine.0 as usize].own_requests -= 1;
         self.adjust_pool_loads(engine, -1);
     }
@@ -262,7 +268,7 @@
     ///
     /// Versions that share traffic receive it in proportion to their engines, and a retry reaches
     /// another version once all engines of the first have been tried.
-    pub fn draw_pools(&mut self, sets: &[Vec<PoolKey>], tried: &[EngineKey]) -> Option<usize> {
+    pub fn select_pools(&mut self, sets: &[Vec<PoolKey>], tried: &[EngineKey]) -> Option<usize> {
         let untried_count = |set: &Vec<PoolKey>| {
             let members = set.iter().flat_map(|pool| self.members(*pool));
             members.filter(|engine| !tried.contains(engine)).count()
@@ -285,11 +291,11 @@
     /// # Errors
     ///
     /// Fails if no engine holds the version, or all engines that do are at their limit.
-    pub fn choose(&mut self, ask: Ask<'_>) -> Result<EngineKey, Refusal> {
+    pub fn choose(&mut self, criteria: Criteria<'_>) -> Result<EngineKey, Refusal> {
         let mut least_excess = None;
         for allow_queueing in [false, true] {
-            for (pool_index, pool) in ask.pools.iter().enumerate() {
-                let Some(best) = self.best_in_pool(*pool, ask) else {
+            for (pool_index, pool) in criteria.pools.iter().enumerate() {
+                let Some(best) = self.best_in_pool(*pool, criteria) else {
                     continue;
                 };
                 let engine = self.engine(best);
@@ -305,7 +311,11 @@
                 least_excess = Some(least_excess.unwrap_or(excess).min(excess));
             }
         }
-        let retry_at = |excess: u64| ask.now.after_millis(self.policy.wait_millis * excess);
+        let retry_at = |excess: u64| {
+            criteria
+                .now
+                .after_millis(self.policy.retry_after_millis * excess)
+        };
         Err(least_excess.map_or(Refusal::NoEngine, |excess| Refusal::Full(retry_at(excess))))
     }
 
@@ -320,10 +330,10 @@
         }
     }
 
-    fn best_in_pool(&mut self, pool: PoolKey, ask: Ask<'_>) -> Option<EngineKey> {
-        let prefix_engine = ask
-            .prefix
-            .and_then(|prefix| self.prefix_engine(pool, prefix, ask.tried));
+    fn best_in_pool(&mut self, pool: PoolKey, criteria: Criteria<'_>) -> Option<EngineKey> {
+        let prefix_engine = criteria
+            .prefix_hash
+            .and_then(|prefix| self.prefix_engine(pool, prefix, criteria.tried));
         if prefix_engine.is_some() {
             return prefix_engine;
         }
@@ -333,25 +343,25 @@
         }
         let start = self.rng.usize(..count);
         // A stride coprime to the count visits each engine at most once.
-        let stride = if count <= self.policy.draws as usize {
+        let stride = if count <= self.policy.sample_size as usize {
             1
         } else {
             self.stride(count)
         };
         let mean = self.mean_other_requests(pool);
         let mut best: Option<(u64, EngineKey)> = None;
-        for draw in 0..count.min(self.policy.draws as usize) {
+        for draw in 0..count.min(self.policy.sample_size as usize) {
             let engine = self.pools[pool.0 as usize].members[(start + draw * stride) % count];
-            if ask.tried.contains(&engine) {
+            if criteria.tried.contains(&engine) {
                 continue;
             }
-            let estimate = self.estimated_load(engine, mean, ask.now);
+            let estimate = self.estimated_load(engine, mean, criteria.now);
             if best.is_none_or(|(least, _)| estimate < least) {
                 best = Some((estimate, engine));
             }
         }
         let best = best.map(|(_, engine)| engine);
-        best.or_else(|| self.least_loaded(pool, ask.tried))
+        best.or_else(|| self.least_loaded(pool, criteria.tried))
     }
 
     fn stride(&mut self, count: usize) -> usize {
--- a/crates/gingerpier_routing/tests/choice.rs
+++ b/crates/gingerpier_routing/tests/choice.rs
@@ -2,7 +2,7 @@
 
 use {
     gingerpier_base::Instant,
-    gingerpier_routing::router::{Ask, EngineKey, Policy, PoolKey, Refusal, Router},
+    gingerpier_routing::router::{Criteria, EngineKey, Policy, PoolKey, Refusal, Router},
 };
 
 const NOW: Instant = Instant::from_millis(1_000);
@@ -15,15 +15,15 @@
     let pool = router.add_pool();
     let engines: Vec<EngineKey> = (0..engines).map(|_| router.add_engine(capacity)).collect();
     for engine in &engines {
-        router.join(pool, *engine);
+        router.add_to_pool(pool, *engine);
     }
     (pool, engines)
 }
 
-fn ask<'a>(pools: &'a [PoolKey], tried: &'a [EngineKey]) -> Ask<'a> {
-    Ask {
+fn criteria<'a>(pools: &'a [PoolKey], tried: &'a [EngineKey]) -> Criteria<'a> {
+    Criteria {
         pools,
-        prefix: None,
+        prefix_hash: None,
         tried,
         now: NOW,
     }
@@ -36,7 +36,7 @@
     let (new, _) = add_pool_with_engines(&mut router, 1, 4);
     for _ in 0..100 {
         assert_eq!(
-            router.draw_pools(&[vec![old], vec![new]], &tried_engines),
+            router.select_pools(&[vec![old], vec![new]], &tried_engines),
             Some(1)
         );
     }
@@ -49,7 +49,7 @@
     let (new, _) = add_pool_with_engines(&mut router, 1, 4);
     let sets = [vec![old], vec![new]];
     let selected_count = (0..4_000)
-        .filter(|_| router.draw_pools(&sets, &[]) == Some(1))
+        .filter(|_| router.select_pools(&sets, &[]) == Some(1))
         .count();
     assert!(
         (800..1_200).contains(&selected_count),
@@ -64,8 +64,8 @@
     let (far, _) = add_pool_with_engines(&mut router, 1, 10);
     let pools = [near, far];
     let mut admitted = 0;
-    while let Ok(engine) = router.choose(ask(&pools, &[])) {
-        router.started(engine);
+    while let Ok(engine) = router.choose(criteria(&pools, &[])) {
+        router.record_request_start(engine);
         admitted += 1;
     }
     // First 10 requests run in the near zone and 8 in the far zone; then 10 queue in the near zone
@@ -79,7 +79,7 @@
         (30, 20, 10)
     );
     assert!(
-        router.choose(ask(&[far], &[])).is_ok(),
+        router.choose(criteria(&[far], &[])).is_ok(),
         "the far zone still accepts its own requests"
     );
 }
@@ -88,9 +88,9 @@
 fn refusal_includes_time_of_retry() {
     let mut router = Router::new(Policy::default(), 1);
     let (pool, engines) = add_pool_with_engines(&mut router, 1, 1);
-    router.started(engines[0]);
-    router.started(engines[0]);
-    let Err(Refusal::Full(at)) = router.choose(ask(&[pool], &[])) else {
+    router.record_request_start(engines[0]);
+    router.record_request_start(engines[0]);
+    let Err(Refusal::Full(at)) = router.choose(criteria(&[pool], &[])) else {
         panic!("expected Refusal::Full")
     };
     assert!(at > NOW);
@@ -101,14 +101,14 @@
     let mut router = Router::new(Policy::default(), 1);
     let (pool, _) = add_pool_with_engines(&mut router, 8, 100);
     let pools = [pool];
-    let with_prefix = Ask {
-        prefix: Some(77),
-        ..ask(&pools, &[])
+    let with_prefix = Criteria {
+        prefix_hash: Some(77),
+        ..criteria(&pools, &[])
     };
     let prefix_engine = router.choose(with_prefix).expect("an engine has capacity");
     assert!((0..20).all(|_| router.choose(with_prefix) == Ok(prefix_engine)));
     for _ in 0..20 {
-        router.started(prefix_engine);
+        router.record_request_start(prefix_engine);
     }
     assert_ne!(router.choose(with_prefix), Ok(prefix_engine));
 }
@@ -117,8 +117,8 @@
 fn older_load_report_is_ignored() {
     let mut router = Router::new(Policy::default(), 1);
     let (_, engines) = add_pool_with_engines(&mut router, 1, 4);
-    router.report(engines[0], 3, 4, Instant::from_millis(20));
-    router.report(engines[0], 0, 4, Instant::from_millis(10));
+    router.record_load_report(engines[0], 3, 4, Instant::from_millis(20));
+    router.record_load_report(engines[0], 0, 4, Instant::from_millis(10));
     assert_eq!(router.load(engines[0]), 3);
 }
 
@@ -126,14 +126,14 @@
 fn observed_load_is_ignored_once_stale() {
     let mut router = Router::new(Policy::default(), 1);
     let (pool, engines) = add_pool_with_engines(&mut router, 2, 10);
-    router.observe(engines[0], 5, NOW);
-    router.observe(engines[1], 1, NOW);
+    router.record_observed_load(engines[0], 5, NOW);
+    router.record_observed_load(engines[1], 1, NOW);
     let pools = [pool];
-    assert!((0..20).all(|_| router.choose(ask(&pools, &[])) == Ok(engines[1])));
+    assert!((0..20).all(|_| router.choose(criteria(&pools, &[])) == Ok(engines[1])));
     // Both reports are stale by now.
-    let later = Ask {
+    let later = Criteria {
         now: NOW.after_millis(10_000),
-        ..ask(&pools, &[])
+        ..criteria(&pools, &[])
     };
     let first_engine_count = (0..100)
         .filter(|_| router.choose(later) == Ok(engines[0]))
