--- a/crates/gingerpier_benches/benches/control.rs
+++ b/crates/gingerpier_benches/benches/control.rs
@@ -366,13 +366,13 @@
         .collect();
     let start = Instant::now();
     for (index, name) in boxes.iter().enumerate() {
-        let key = members.listed(name, Role::Backend, &zone, "127.0.0.1:1", Listing::Live);
-        members.link_up(key, Incarnation(index as u64), now);
+        let key = members.record_listing(name, Role::Backend, &zone, "127.0.0.1:1", Listing::Live);
+        members.record_link_up(key, Incarnation(index as u64), now);
     }
     let first = start.elapsed().as_secs_f64() * 1e6;
     let again = micros(1, || {
         for name in &boxes {
-            members.listed(name, Role::Backend, &zone, "127.0.0.1:1", Listing::Live);
+            members.record_listing(name, Role::Backend, &zone, "127.0.0.1:1", Listing::Live);
         }
     });
     report.line(
--- a/crates/gingerpier_daemon/src/entry/links.rs
+++ b/crates/gingerpier_daemon/src/entry/links.rs
@@ -10,7 +10,7 @@
     },
     gingerpier_catalogue::Revision,
     gingerpier_link::{Error, Identity, Link, Step},
-    gingerpier_membership::{BoxKey, Listing, Member, Standing},
+    gingerpier_membership::{BoxKey, Listing, Liveness, Member},
     gingerpier_services::box_list,
     gingerpier_wire::{
         Reply, Request,
@@ -127,7 +127,7 @@
             };
             keys.push(self.meet(&entry.name, role, &zone, &entry.address, listing));
         }
-        self.members.borrow_mut().list_ended(&keys);
+        self.members.borrow_mut().record_list_end(&keys);
     }
 
     /// Notes a box; a link to it is kept from now on, where it is new.
@@ -139,12 +139,12 @@
         address: &str,
         listing: Listing,
     ) -> BoxKey {
-        let known = self.members.borrow().named(name);
+        let known = self.members.borrow().key_of(name);
         let before = known.map(|key| self.standing(key));
         let key = self
             .members
             .borrow_mut()
-            .listed(name, role, zone, address, listing);
+            .record_listing(name, role, zone, address, listing);
         if before != Some(self.standing(key)) {
             self.refresh_standing(key);
             self.boxes_changed();
@@ -157,7 +157,7 @@
 
     /// Gives or takes a server's engines their place in the pools.
     pub fn refresh_standing(&self, key: BoxKey) {
-        let usable = self.standing(key) == Standing::Alive;
+        let usable = self.standing(key) == Liveness::Alive;
         let leaving = self.links.status(key).is_some_and(|status| status.leaving);
         self.fleet.borrow_mut().set_usable(key, usable && !leaving);
     }
@@ -167,7 +167,7 @@
         for key in &keys {
             self.refresh_standing(*key);
         }
-        let gone = self.members.borrow_mut().sweep(clock::now());
+        let gone = self.members.borrow_mut().remove_gone(clock::now());
         for member in &gone {
             tracing::info!(event = "box_gone", name = %member.name);
         }
@@ -227,9 +227,9 @@
         self.links.up(key, link.clone());
         self.members
             .borrow_mut()
-            .link_up(key, incarnation, clock::now());
+            .record_link_up(key, incarnation, clock::now());
         if hello.leaving {
-            self.members.borrow_mut().leaving(key, incarnation);
+            self.members.borrow_mut().record_leaving(key, incarnation);
         }
         self.refresh_standing(key);
         self.boxes_changed();
@@ -244,7 +244,9 @@
         }
         link.closed().await;
         self.links.down(key);
-        self.members.borrow_mut().link_down(key, clock::now());
+        self.members
+            .borrow_mut()
+            .record_link_down(key, clock::now());
         self.refresh_standing(key);
         if member.role == Role::Entry {
             self.claims.borrow_mut().record_holder_lost(incarnation);
@@ -281,11 +283,11 @@
             // A drain can be taken back; only the process's own end is for good, and its
             // greeting and its closed link tell that.
             if let (Some(incarnation), true) = (incarnation, self.is_stopping(&member.name)) {
-                self.members.borrow_mut().leaving(key, incarnation);
+                self.members.borrow_mut().record_leaving(key, incarnation);
             }
         }
         self.links.note_revision(key, status.revision);
-        let usable = self.standing(key) == Standing::Alive && !status.leaving;
+        let usable = self.standing(key) == Liveness::Alive && !status.leaving;
         let mut fleet = self.fleet.borrow_mut();
         fleet.take(key, &member.name, &member.zone, &status, usable);
         drop(fleet);
--- a/crates/gingerpier_daemon/src/entry/mod.rs
+++ b/crates/gingerpier_daemon/src/entry/mod.rs
@@ -21,7 +21,7 @@
         process::{Process, listen},
     },
     gingerpier_base::{Name, place::Role},
-    gingerpier_membership::{BoxKey, Membership, Standing},
+    gingerpier_membership::{BoxKey, Liveness, Membership},
     gingerpier_once::Claims,
     gingerpier_routing::{
         Budget, Limits,
@@ -128,14 +128,14 @@
     }
 
     /// Standing of a box, operators' word included.
-    pub fn standing(&self, key: BoxKey) -> Standing {
+    pub fn standing(&self, key: BoxKey) -> Liveness {
         let members = self.members.borrow();
         let Some(member) = members.get(key) else {
-            return Standing::Gone;
+            return Liveness::Gone;
         };
         let catalogue = self.process.ledger.catalogue();
-        match members.standing(key, clock::now()) {
-            Standing::Alive if catalogue.withdrawal(&member.name).is_some() => Standing::Leaving,
+        match members.liveness(key, clock::now()) {
+            Liveness::Alive if catalogue.withdrawal(&member.name).is_some() => Liveness::Leaving,
             standing => standing,
         }
     }
@@ -146,7 +146,7 @@
         let now = clock::now();
         let alive = members.iter().filter(|(key, member)| {
             member.role == Role::Entry
-                && members.standing(*key, now) == Standing::Alive
+                && members.liveness(*key, now) == Liveness::Alive
                 && zone.is_none_or(|zone| member.zone.name == *zone)
         });
         let mut names: Vec<Name> = alive.map(|(_, member)| member.name.clone()).collect();
--- a/crates/gingerpier_daemon/src/entry/operators.rs
+++ b/crates/gingerpier_daemon/src/entry/operators.rs
@@ -17,7 +17,7 @@
     },
     gingerpier_language::Statement,
     gingerpier_link::{Credentials, Identity as Named},
-    gingerpier_membership::Standing,
+    gingerpier_membership::Liveness,
     rustls_pki_types::CertificateDer,
     std::{net::SocketAddr, rc::Rc},
 };
@@ -161,7 +161,7 @@
     fn behind(&self, revision: Revision) -> Vec<String> {
         let members = self.members.borrow();
         let late = members.iter().filter(|(key, _)| {
-            self.standing(*key) != Standing::Gone && self.links.revision(*key) < revision
+            self.standing(*key) != Liveness::Gone && self.links.revision(*key) < revision
         });
         late.map(|(_, member)| member.name.to_string()).collect()
     }
--- a/crates/gingerpier_daemon/src/entry/peers.rs
+++ b/crates/gingerpier_daemon/src/entry/peers.rs
@@ -94,7 +94,7 @@
         if hello.name != link.peer().name || hello.leaving {
             return;
         }
-        if self.members.borrow().named(&hello.name).is_none() {
+        if self.members.borrow().key_of(&hello.name).is_none() {
             self.meet(
                 &hello.name,
                 hello.role,
@@ -113,7 +113,7 @@
 
     fn place_of(&self, link: &Link) -> Option<(BoxKey, Zone)> {
         let members = self.members.borrow();
-        let key = members.named(&link.peer().name)?;
+        let key = members.key_of(&link.peer().name)?;
         Some((key, members.get(key)?.zone.clone()))
     }
 }
--- a/crates/gingerpier_daemon/src/entry/planning.rs
+++ b/crates/gingerpier_daemon/src/entry/planning.rs
@@ -13,7 +13,7 @@
     crate::clock,
     gingerpier_base::order,
     gingerpier_catalogue::{Command, Entry as LogEntry, Identity},
-    gingerpier_membership::Standing,
+    gingerpier_membership::Liveness,
     gingerpier_rollout::{Planner, View, planner::Terms},
     gingerpier_services::{Error, key_value::Change},
     gingerpier_wire::frame::Phase,
@@ -153,7 +153,7 @@
             zone: engine.zone.name.clone(),
             kind: engine.status.kind.clone(),
             usable: engine.usable
-                && self.standing(engine.server) == Standing::Alive
+                && self.standing(engine.server) == Liveness::Alive
                 && engine.status.phase != Phase::Down,
             weights: engine.status.weights,
             adapters: engine.status.adapters.clone(),
--- a/crates/gingerpier_daemon/src/entry/spreading.rs
+++ b/crates/gingerpier_daemon/src/entry/spreading.rs
@@ -16,7 +16,7 @@
     },
     gingerpier_catalogue::Revision,
     gingerpier_link::{Error, Link},
-    gingerpier_membership::{BoxKey, Listing, Member, Standing},
+    gingerpier_membership::{BoxKey, Listing, Liveness, Member},
     gingerpier_wire::{
         Reply, Request,
         frame::{Inform, Peer},
@@ -216,7 +216,7 @@
     }
 
     fn peer(&self, key: BoxKey, member: &Member) -> Peer {
-        let leaving = self.members.borrow().standing(key, clock::now()) == Standing::Leaving;
+        let leaving = self.members.borrow().liveness(key, clock::now()) == Liveness::Leaving;
         Peer {
             name: member.name.clone(),
             role: member.role,
--- a/crates/gingerpier_membership/src/lib.rs
+++ b/crates/gingerpier_membership/src/lib.rs
@@ -13,23 +13,23 @@
 //!
 //! ```
 //! use gingerpier_base::{place::{Incarnation, Role, Zone}, time::Instant};
-//! use gingerpier_membership::{Listing, Membership, Standing};
+//! use gingerpier_membership::{Listing, Membership, Liveness};
 //!
 //! let mut members = Membership::default();
 //! let zone = Zone { region: "kerala".parse()?, name: "kochi".parse()? };
 //! let now = Instant::from_millis(0);
-//! let key = members.listed(&"b1".parse()?, Role::Backend, &zone, "127.0.0.1:1", Listing::Live);
-//! assert_eq!(members.standing(key, now), Standing::Suspect);
-//! members.link_up(key, Incarnation(7), now);
-//! assert_eq!(members.standing(key, now), Standing::Alive);
-//! members.leaving(key, Incarnation(7));
-//! members.link_up(key, Incarnation(7), now);
-//! assert_eq!(members.standing(key, now), Standing::Leaving);
+//! let key = members.record_listing(&"b1".parse()?, Role::Backend, &zone, "127.0.0.1:1", Listing::Live);
+//! assert_eq!(members.liveness(key, now), Liveness::Suspect);
+//! members.record_link_up(key, Incarnation(7), now);
+//! assert_eq!(members.liveness(key, now), Liveness::Alive);
+//! members.record_leaving(key, Incarnation(7));
+//! members.record_link_up(key, Incarnation(7), now);
+//! assert_eq!(members.liveness(key, now), Liveness::Leaving);
 //! # Ok::<(), gingerpier_base::name::Error>(())
 //! ```
 
 pub mod member;
 pub mod merge;
 
-pub use member::{BoxKey, Listing, Member, Standing};
+pub use member::{BoxKey, Listing, Liveness, Member};
 pub use merge::Membership;
--- a/crates/gingerpier_membership/src/member.rs
+++ b/crates/gingerpier_membership/src/member.rs
@@ -30,7 +30,7 @@
 /// Status of a box, derived from its listing and link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 #[cbor(index_only)]
-pub enum Standing {
+pub enum Liveness {
     /// Accepts new requests.
     #[n(0)]
     Alive,
@@ -45,7 +45,7 @@
     Gone,
 }
 
-impl Standing {
+impl Liveness {
     /// Name used in tables and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/gingerpier_membership/src/merge.rs
+++ b/crates/gingerpier_membership/src/merge.rs
@@ -1,7 +1,7 @@
 //! Derives the status of each box from the box list and this process's links.
 
 use {
-    crate::member::{BoxKey, Link, Listing, Member, Standing},
+    crate::member::{BoxKey, Link, Listing, Liveness, Member},
     gingerpier_base::{
         Instant, Name,
         place::{Incarnation, Role, Zone},
@@ -35,14 +35,14 @@
     }
 
     /// Key of the box with the given name.
-    pub fn named(&self, name: &Name) -> Option<BoxKey> {
+    pub fn key_of(&self, name: &Name) -> Option<BoxKey> {
         self.iter()
             .find(|(_, member)| member.name == *name)
             .map(|(key, _)| key)
     }
 
     /// Updates the listing of a box, and adds the box if it is new.
-    pub fn listed(
+    pub fn record_listing(
         &mut self,
         name: &Name,
         role: Role,
@@ -51,7 +51,7 @@
         listing: Listing,
     ) -> BoxKey {
         let key = self
-            .named(name)
+            .key_of(name)
             .unwrap_or_else(|| self.add(name, role, zone, address));
         if let Some(member) = self.members.get_mut(&key) {
             // Once listed as leaving, a box stays so until it is absent from the list.
@@ -63,7 +63,7 @@
     }
 
     /// Marks all boxes as absent that are not in `listed`, the keys of a complete box list.
-    pub fn list_ended(&mut self, listed: &[BoxKey]) {
+    pub fn record_list_end(&mut self, listed: &[BoxKey]) {
         for (key, member) in &mut self.members {
             if !listed.contains(key) {
                 member.listing = Listing::Absent;
@@ -72,7 +72,7 @@
     }
 
     /// Records that the link to a box is up, and the run `incarnation` of its process.
-    pub fn link_up(&mut self, key: BoxKey, incarnation: Incarnation, now: Instant) {
+    pub fn record_link_up(&mut self, key: BoxKey, incarnation: Incarnation, now: Instant) {
         let Some(member) = self.members.get_mut(&key) else {
             return;
         };
@@ -87,7 +87,7 @@
     }
 
     /// Records that the link to a box is down.
-    pub fn link_down(&mut self, key: BoxKey, now: Instant) {
+    pub fn record_link_down(&mut self, key: BoxKey, now: Instant) {
         let Some(member) = self.members.get_mut(&key) else {
             return;
         };
@@ -105,22 +105,22 @@
     }
 
     /// Records that the run `incarnation` of a box's process is shutting down.
-    pub fn leaving(&mut self, key: BoxKey, incarnation: Incarnation) {
+    pub fn record_leaving(&mut self, key: BoxKey, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(&key) {
             member.leaving = Some(incarnation);
         }
     }
 
-    /// Status of a box; [`Standing::Gone`] if the key is not known.
-    pub fn standing(&self, key: BoxKey, now: Instant) -> Standing {
+    /// Status of a box; [`Liveness::Gone`] if the key is not known.
+    pub fn liveness(&self, key: BoxKey, now: Instant) -> Liveness {
         self.members
             .get(&key)
-            .map_or(Standing::Gone, |member| member.standing(now))
+            .map_or(Liveness::Gone, |member| member.liveness(now))
     }
 
     /// Removes boxes that are gone, and returns them.
-    pub fn sweep(&mut self, now: Instant) -> Vec<Member> {
-        let is_gone = |member: &Member| member.standing(now) == Standing::Gone;
+    pub fn remove_gone(&mut self, now: Instant) -> Vec<Member> {
+        let is_gone = |member: &Member| member.liveness(now) == Liveness::Gone;
         let keys: Vec<BoxKey> = self
             .iter()
             .filter(|(_, member)| is_gone(member))
@@ -152,11 +152,11 @@
 
 impl Member {
     /// Status at `now`.
-    pub fn standing(&self, now: Instant) -> Standing {
+    pub fn liveness(&self, now: Instant) -> Liveness {
         match (self.link, self.listing) {
-            (Link::Down, Listing::Absent) => Standing::Gone,
-            (_, Listing::Leaving) => Standing::Leaving,
-            (Link::Down, Listing::Live) => Standing::Suspect,
+            (Link::Down, Listing::Absent) => Liveness::Gone,
+            (_, Listing::Leaving) => Liveness::Leaving,
+            (Link::Down, Listing::Live) => Liveness::Suspect,
             (
                 Link::Up {
                     incarnation,
@@ -165,11 +165,11 @@
                 _,
             ) => {
                 if self.leaving == Some(incarnation) {
-                    Standing::Leaving
+                    Liveness::Leaving
                 } else if usable_from.has_passed(now) {
-                    Standing::Alive
+                    Liveness::Alive
                 } else {
-                    Standing::Suspect
+                    Liveness::Suspect
                 }
             }
         }
