--- a/crates/gingerpier_benches/benches/control.rs
+++ b/crates/gingerpier_benches/benches/control.rs
@@ -15,7 +15,7 @@
     gingerpier_fleet::{Child, Error, Fleet, Spec, spec::Zone},
     gingerpier_membership::{Listing, Membership},
     gingerpier_once::{Deduplicator, claims::Claims, dedup::AttemptKey},
-    gingerpier_rollout::{Planner, View, planner::Terms},
+    gingerpier_rollout::{EngineState, Planner, planner::Policy},
     gingerpier_standins::key_value::Counts,
     gingerpier_wire::{
         codec,
@@ -278,10 +278,10 @@
             ("record_bytes", record as f64),
         ],
     );
-    let views = views();
-    let mut planner = Planner::new(Terms::default());
+    let engine_states = engine_states();
+    let mut planner = Planner::new(Policy::default());
     let plan = micros(20, || {
-        black_box(planner.plan(&catalogue, &views, Moment::from_millis(1_000)));
+        black_box(planner.plan(&catalogue, &engine_states, Moment::from_millis(1_000)));
     });
     report.line("machine=planner engines=10000", &[("plan_us", plan)]);
     let status = status();
@@ -319,17 +319,17 @@
     catalogue.apply(&record).expect("the commands are right");
 }
 
-fn views() -> Vec<View> {
-    let view = |engine: usize| View {
+fn engine_states() -> Vec<EngineState> {
+    let state = |engine: usize| EngineState {
         engine: name(&format!("zone-b{}-e{}", engine / 6, engine % 6)),
         server: name(&format!("zone-b{}", engine / 6)),
         zone: name("zone"),
         kind: name("lm"),
-        usable: true,
-        weights: Some(digest()),
-        adapters: Vec::new(),
+        is_usable: true,
+        loaded_weights: Some(digest()),
+        loaded_adapters: Vec::new(),
     };
-    (0..ENGINES).map(view).collect()
+    (0..ENGINES).map(state).collect()
 }
 
 fn status() -> Status {
--- a/crates/gingerpier_daemon/src/entry/planning.rs
+++ b/crates/gingerpier_daemon/src/entry/planning.rs
@@ -14,7 +14,7 @@
     gingerpier_base::order,
     gingerpier_catalogue::{Command, Entry as LogEntry, Identity},
     gingerpier_membership::Liveness,
-    gingerpier_rollout::{Planner, View, planner::Terms},
+    gingerpier_rollout::{EngineState, Planner, planner::Policy},
     gingerpier_services::{Error, key_value::Change},
     gingerpier_wire::frame::Phase,
     std::rc::Rc,
@@ -91,7 +91,7 @@
 
     async fn plan_while(&self, held: Held) {
         tracing::info!(event = "planning", fence = held.fence.changed);
-        let mut planner = Planner::new(Terms::default());
+        let mut planner = Planner::new(Policy::default());
         let mut keep_at = clock::now().after_millis(LEASE_MILLIS);
         loop {
             if self.process.is_leaving() {
@@ -123,7 +123,7 @@
     /// Plans once; false where the fence has passed to another.
     async fn plan_once(&self, planner: &mut Planner, fence: Fence) -> bool {
         let catalogue = self.process.ledger.catalogue();
-        let commands = planner.plan(&catalogue, &self.views(), clock::now());
+        let commands = planner.plan(&catalogue, &self.engine_states(), clock::now());
         if commands.is_empty() {
             return true;
         }
@@ -144,21 +144,21 @@
         }
     }
 
-    fn views(&self) -> Vec<View> {
+    fn engine_states(&self) -> Vec<EngineState> {
         let fleet = self.fleet.borrow();
         let engines = fleet.engines().filter(|(_, engine)| !engine.status.plain);
-        let view = |engine: &super::fleet::Engine| View {
+        let state = |engine: &super::fleet::Engine| EngineState {
             engine: engine.status.name.clone(),
             server: engine.server_name.clone(),
             zone: engine.zone.name.clone(),
             kind: engine.status.kind.clone(),
-            usable: engine.usable
+            is_usable: engine.usable
                 && self.standing(engine.server) == Liveness::Alive
                 && engine.status.phase != Phase::Down,
-            weights: engine.status.weights,
-            adapters: engine.status.adapters.clone(),
+            loaded_weights: engine.status.weights,
+            loaded_adapters: engine.status.adapters.clone(),
         };
-        engines.map(|(_, engine)| view(engine)).collect()
+        engines.map(|(_, engine)| state(engine)).collect()
     }
 }
 
--- a/crates/gingerpier_rollout/src/engine.rs
+++ b/crates/gingerpier_rollout/src/engine.rs
@@ -4,7 +4,7 @@
 
 /// Last reported state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct View {
+pub struct EngineState {
     /// Engine name, unique in the deployment.
     pub engine: Name,
     /// Backend server of the engine.
@@ -15,9 +15,9 @@
     pub kind: Name,
     /// True if the backend server accepts requests: alive, not shutting down and not withdrawn by
     /// an operator.
-    pub usable: bool,
+    pub is_usable: bool,
     /// Digest of the manifest that is completely loaded, under the fence of the last load order.
-    pub weights: Option<Digest>,
+    pub loaded_weights: Option<Digest>,
     /// Digests of the adapter manifests that are completely loaded.
-    pub adapters: Vec<Digest>,
+    pub loaded_adapters: Vec<Digest>,
 }
--- a/crates/gingerpier_rollout/src/lib.rs
+++ b/crates/gingerpier_rollout/src/lib.rs
@@ -7,9 +7,9 @@
 //! ```
 //! use gingerpier_base::time::Instant;
 //! use gingerpier_catalogue::Catalogue;
-//! use gingerpier_rollout::planner::{Planner, Terms};
+//! use gingerpier_rollout::planner::{Planner, Policy};
 //!
-//! let mut planner = Planner::new(Terms::default());
+//! let mut planner = Planner::new(Policy::default());
 //! let commands = planner.plan(&Catalogue::default(), &[], Instant::from_millis(0));
 //! assert!(commands.is_empty());
 //! ```
@@ -17,5 +17,5 @@
 pub mod engine;
 pub mod planner;
 
-pub use engine::View;
+pub use engine::EngineState;
 pub use planner::Planner;
--- a/crates/gingerpier_rollout/src/planner.rs
+++ b/crates/gingerpier_rollout/src/planner.rs
@@ -1,7 +1,7 @@
 //! Computes the commands that bring the engines' assignments in line with the catalogue.
 
 use {
-    crate::engine::View,
+    crate::engine::EngineState,
     gingerpier_base::{Instant, Name, order},
     gingerpier_catalogue::{
         Catalogue, Command, ModelKey, VersionKey,
@@ -12,20 +12,20 @@
 
 /// Parameters of the planner.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct Policy {
     /// Time in milliseconds for which an assigned engine may be unusable before it is replaced;
     /// default 10,000.
-    pub missing_millis: u64,
+    pub replacement_delay_millis: u64,
     /// Share of a contract's engines that may load weights at the same time, in percent; default
     /// 34.
-    pub moving_percent: u32,
+    pub max_loading_percent: u32,
 }
 
-impl Default for Terms {
+impl Default for Policy {
     fn default() -> Self {
         Self {
-            missing_millis: 10_000,
-            moving_percent: 34,
+            replacement_delay_millis: 10_000,
+            max_loading_percent: 34,
         }
     }
 }
@@ -33,7 +33,7 @@
 /// Proposes assignments and rollout steps.
 #[derive(Debug)]
 pub struct Planner {
-    terms: Terms,
+    policy: Policy,
     /// Assigned engines that are unusable, with the time at which each is replaced.
     replacement_deadlines: BTreeMap<Name, Instant>,
 }
@@ -41,32 +41,40 @@
 /// State of one planning round.
 struct Round<'a> {
     catalogue: &'a Catalogue,
-    views: BTreeMap<&'a Name, &'a View>,
+    engine_states: BTreeMap<&'a Name, &'a EngineState>,
     /// Engines that are assigned before or by this round.
     assigned: BTreeSet<Name>,
     commands: Vec<Command>,
-    terms: Terms,
+    policy: Policy,
 }
 
 impl Planner {
     /// Creates a planner without unusable engines.
-    pub const fn new(terms: Terms) -> Self {
+    pub const fn new(policy: Policy) -> Self {
         Self {
-            terms,
+            policy,
             replacement_deadlines: BTreeMap::new(),
         }
     }
 
     /// Returns the commands to propose; empty if nothing has to change.
-    pub fn plan(&mut self, catalogue: &Catalogue, views: &[View], now: Instant) -> Vec<Command> {
-        let views: BTreeMap<&Name, &View> = views.iter().map(|view| (&view.engine, view)).collect();
-        let expired = self.expired(catalogue, &views, now);
+    pub fn plan(
+        &mut self,
+        catalogue: &Catalogue,
+        engine_states: &[EngineState],
+        now: Instant,
+    ) -> Vec<Command> {
+        let engine_states: BTreeMap<&Name, &EngineState> = engine_states
+            .iter()
+            .map(|state| (&state.engine, state))
+            .collect();
+        let expired = self.expired(catalogue, &engine_states, now);
         let mut round = Round {
             catalogue,
-            views,
+            engine_states,
             assigned: catalogue.assignments().keys().cloned().collect(),
             commands: Vec::new(),
-            terms: self.terms,
+            policy: self.policy,
         };
         for engine in expired {
             round.unassign(&engine);
@@ -84,10 +92,14 @@
     fn expired(
         &mut self,
         catalogue: &Catalogue,
-        views: &BTreeMap<&Name, &View>,
+        engine_states: &BTreeMap<&Name, &EngineState>,
         now: Instant,
     ) -> Vec<Name> {
-        let usable = |engine: &Name| views.get(engine).is_some_and(|view| view.usable);
+        let usable = |engine: &Name| {
+            engine_states
+                .get(engine)
+                .is_some_and(|state| state.is_usable)
+        };
         self.replacement_deadlines
             .retain(|engine, _| catalogue.assignments().contains_key(engine) && !usable(engine));
         let unusable = catalogue
@@ -100,7 +112,7 @@
             let timeout_millis = if is_withdrawn {
                 0
             } else {
-                self.terms.missing_millis
+                self.policy.replacement_delay_millis
             };
             let deadline = now.after_millis(timeout_millis);
             let current_deadline = self
@@ -225,13 +237,13 @@
 
     /// Selects usable unassigned engines by the model's rendezvous order.
     fn free_engines(&self, zone: &Name, model: &Model, count: usize) -> Vec<Name> {
-        let free = self.views.values().filter(|view| {
-            view.usable
-                && view.zone == *zone
-                && view.kind == model.kind
-                && !self.assigned.contains(&view.engine)
+        let free = self.engine_states.values().filter(|state| {
+            state.is_usable
+                && state.zone == *zone
+                && state.kind == model.kind
+                && !self.assigned.contains(&state.engine)
         });
-        let mut free: Vec<Name> = free.map(|view| view.engine.clone()).collect();
+        let mut free: Vec<Name> = free.map(|state| state.engine.clone()).collect();
         order::sort_by_score(order::hash(&model.name), &mut free, order::hash);
         free.truncate(count);
         free
@@ -249,7 +261,7 @@
             .iter()
             .filter(|(engine, version)| self.is_usable(engine) && !self.is_ready(engine, *version));
         let max_loading =
-            (replicas.engines.len() * self.terms.moving_percent as usize).div_ceil(100);
+            (replicas.engines.len() * self.policy.max_loading_percent as usize).div_ceil(100);
         let free_slots = max_loading.saturating_sub(loading.count());
         let count = wanted.saturating_sub(on_target_count).min(free_slots);
         let candidates = replicas
@@ -286,10 +298,12 @@
             base_engines.filter(|(_, assignment)| is_served(&assignment.zone))
         {
             engine_count += 1;
-            let has_adapter = |view: &&View| view.adapters.contains(&version.manifest);
+            let has_adapter =
+                |state: &&EngineState| state.loaded_adapters.contains(&version.manifest);
             let is_base_ready = self.is_ready(engine, assignment.version);
-            ready_count +=
-                usize::from(is_base_ready && self.views.get(engine).is_some_and(has_adapter));
+            ready_count += usize::from(
+                is_base_ready && self.engine_states.get(engine).is_some_and(has_adapter),
+            );
         }
         if engine_count > 0 && ready_count == engine_count {
             self.propose_advance(model, rollout);
@@ -310,10 +324,10 @@
     }
 
     fn assign(&mut self, engine: &Name, version: VersionKey) {
-        let Some(view) = self.views.get(engine) else {
+        let Some(state) = self.engine_states.get(engine) else {
             return;
         };
-        let (server, zone) = (view.server.clone(), view.zone.clone());
+        let (server, zone) = (state.server.clone(), state.zone.clone());
         let version = self.catalogue.version(version);
         let model = self.catalogue.model(version.model).name.clone();
         let version = version.name.clone();
@@ -336,12 +350,14 @@
     }
 
     fn is_usable(&self, engine: &Name) -> bool {
-        self.views.get(engine).is_some_and(|view| view.usable)
+        self.engine_states
+            .get(engine)
+            .is_some_and(|state| state.is_usable)
     }
 
     fn is_ready(&self, engine: &Name, version: VersionKey) -> bool {
         let manifest = self.catalogue.version(version).manifest;
-        let view = self.views.get(engine);
-        view.is_some_and(|view| view.usable && view.weights == Some(manifest))
+        let state = self.engine_states.get(engine);
+        state.is_some_and(|state| state.is_usable && state.loaded_weights == Some(manifest))
     }
 }
