--- a/crates/gingerpier_gateway/src/lib.rs
+++ b/crates/gingerpier_gateway/src/lib.rs
@@ -8,12 +8,12 @@
 //!
 //! ```no_run
 //! # use gingerpier_serving::dialect::Dialect;
-//! # fn example(dialect: &'static dyn Dialect) -> Result<(), Box<dyn std::error::Error>> {
+//! # fn example(protocol: &'static dyn Dialect) -> Result<(), Box<dyn std::error::Error>> {
 //! let text = std::fs::read_to_string("gateway.yaml")?;
 //! let gingerpier_settings::Settings::Gateway(settings) = gingerpier_settings::read(&text)? else {
 //!     panic!("not a gateway's settings")
 //! };
-//! actix_rt::System::new().block_on(gingerpier_gateway::gateway::run(*settings, dialect))?;
+//! actix_rt::System::new().block_on(gingerpier_gateway::gateway::run(*settings, protocol))?;
 //! # Ok(())
 //! # }
 //! ```
--- a/crates/gingerpier_gateway/src/proxy/attempt.rs
+++ b/crates/gingerpier_gateway/src/proxy/attempt.rs
@@ -124,13 +124,13 @@
     engine: EngineKey,
     options: &AttemptOptions<'_>,
 ) -> Result<PendingResponse, AttemptError> {
-    let names = state.dialect.names();
+    let header_names = state.protocol.names();
     let (address, bytes) = {
         let fleet = state.fleet.borrow();
         let engine = fleet.engine(engine);
         (
             engine.record.address,
-            request.encode(names, engine, options),
+            request.encode(header_names, engine, options),
         )
     };
     // The engine may be closing an idle connection, which leaves it unknown whether a request ran.
@@ -147,12 +147,16 @@
     };
     let is_request_sent = connection.write_while_reading(&bytes).await;
     let is_request_sent = is_request_sent.map_err(|_| broken_connection())?;
-    let expected_id = request.head.fields.get(names.attempt).unwrap_or_default();
+    let expected_id = request
+        .head
+        .fields
+        .get(header_names.attempt)
+        .unwrap_or_default();
     for _ in 0..=MAX_STALE_RESPONSES {
         let head = connection.response().await.map_err(from_http)?;
         let framing = head.framing().map_err(from_http)?;
         let decoder = Decoder::new(framing);
-        let response_id = head.fields.get(names.attempt);
+        let response_id = head.fields.get(header_names.attempt);
         let is_expected = response_id.map_or(is_new, |response_id| response_id == expected_id);
         if is_expected {
             return Ok(PendingResponse {
--- a/crates/gingerpier_gateway/src/proxy/completion.rs
+++ b/crates/gingerpier_gateway/src/proxy/completion.rs
@@ -62,7 +62,7 @@
         let engine = fleet.engine(engine);
         if log::allows_request_line() {
             tracing::info!(
-                id = self.request.attempt_id(self.state.dialect.names()),
+                id = self.request.attempt_id(self.state.protocol.names()),
                 engine = engine.record.id,
                 cause = ?error.cause,
                 failure = ?error.failure,
@@ -127,9 +127,13 @@
             refusals.get_or_create(&RefusalLabels { reason }).inc();
         }
         self.log_ending(ending, progress);
-        let names = self.state.dialect.names();
-        let bytes =
-            error_response::encode(error, self.request.head, names, self.closes_connection());
+        let header_names = self.state.protocol.names();
+        let bytes = error_response::encode(
+            error,
+            self.request.head,
+            header_names,
+            self.closes_connection(),
+        );
         match caller.write(&bytes).await {
             Ok(()) => Persistence::KeepAlive,
             Err(_) => Persistence::Close,
@@ -198,7 +202,7 @@
         let fleet = self.state.fleet.borrow();
         let engine = self.tried.last().map(|key| fleet.engine(*key));
         tracing::info!(
-            id = self.request.attempt_id(self.state.dialect.names()),
+            id = self.request.attempt_id(self.state.protocol.names()),
             outcome = ?ending,
             mark = %self.request.fingerprint,
             route = self.request.route_settings().name,
@@ -243,7 +247,7 @@
     head: &Request,
     error: ErrorResponse,
 ) -> Persistence {
-    let names = state.dialect.names();
+    let header_names = state.protocol.names();
     let ending = match error {
         ErrorResponse::NoConfiguration | ErrorResponse::ShuttingDown => Ending::Refused,
         _ => Ending::Denied,
@@ -256,7 +260,7 @@
     if log::allows_request_line() {
         let configuration = state.configuration();
         tracing::info!(
-            id = head.fields.text(names.attempt),
+            id = head.fields.text(header_names.attempt),
             host = head.fields.text("host"),
             target = std::str::from_utf8(head.target()).unwrap_or_default(),
             status = error.status(),
@@ -265,7 +269,7 @@
         );
     }
     let closes = state.is_stopping.get() || !head.keeps_alive();
-    let bytes = error_response::encode(error, head, names, closes);
+    let bytes = error_response::encode(error, head, header_names, closes);
     match caller.write(&bytes).await {
         Ok(()) => Persistence::KeepAlive,
         Err(_) => Persistence::Close,
--- a/crates/gingerpier_gateway/src/proxy/error_response.rs
+++ b/crates/gingerpier_gateway/src/proxy/error_response.rs
@@ -72,14 +72,19 @@
 }
 
 /// Encodes the response to `request`; `closes` announces that the connection closes after it.
-pub fn encode(error: ErrorResponse, request: &Request, names: &Names, closes: bool) -> Vec<u8> {
+pub fn encode(
+    error: ErrorResponse,
+    request: &Request,
+    header_names: &Names,
+    closes: bool,
+) -> Vec<u8> {
     let mut message = Message::response(error.status());
-    if let Some(attempt_id) = request.fields.get(names.attempt) {
-        message = message.field(names.attempt.as_bytes(), attempt_id);
+    if let Some(attempt_id) = request.fields.get(header_names.attempt) {
+        message = message.field(header_names.attempt.as_bytes(), attempt_id);
     }
     if let Some(seconds) = error.retry_after() {
         message = message.field(
-            names.retry_after.as_bytes(),
+            header_names.retry_after.as_bytes(),
             format!("{seconds:.2}").as_bytes(),
         );
     }
--- a/crates/gingerpier_gateway/src/proxy/request.rs
+++ b/crates/gingerpier_gateway/src/proxy/request.rs
@@ -73,7 +73,7 @@
         body: &'a Bytes,
         received: Instant,
     ) -> Result<Self, ErrorResponse> {
-        let names = state.dialect.names();
+        let header_names = state.protocol.names();
         if state.is_closed.get() {
             return Err(ErrorResponse::ShuttingDown);
         }
@@ -88,20 +88,24 @@
             .find(host, path)
             .ok_or(ErrorResponse::NoRoute)?;
         let route_settings = configuration.route(route);
-        let account_key = authenticate(&configuration, route_settings, fields.text(names.key))?;
-        if fields.get(names.attempt).is_none() {
+        let account_key = authenticate(
+            &configuration,
+            route_settings,
+            fields.text(header_names.key),
+        )?;
+        if fields.get(header_names.attempt).is_none() {
             return Err(ErrorResponse::MissingAttemptId);
         }
         let service = configuration
             .draw(route, fastrand::u64(..))
             .ok_or(ErrorResponse::NoRoute)?;
-        let caller_timeout_millis = fields.number(names.deadline);
+        let caller_timeout_millis = fields.number(header_names.deadline);
         let visit = state.record_visit(&route_settings.name, caller_timeout_millis, received);
         let timeout_millis = caller_timeout_millis.unwrap_or(route_settings.timeout_millis);
         let caller_deadline = received.after_millis(timeout_millis);
         let deadline = received.after_millis(timeout_millis.min(route_settings.timeout_millis));
         let prompt_tokens = fields
-            .text(names.tokens)
+            .text(header_names.tokens)
             .and_then(|text| text.split(',').next()?.trim().parse().ok())
             .unwrap_or_default();
         let band = state.record_prompt_size(&route_settings.name, prompt_tokens);
@@ -119,7 +123,7 @@
             service,
             regions: configuration.homes(route, account_key),
             account,
-            model: fields.text(names.model).map(str::to_owned),
+            model: fields.text(header_names.model).map(str::to_owned),
             prompt_tokens,
             band,
             received,
@@ -158,34 +162,45 @@
     }
 
     /// Attempt id that the caller set.
-    pub fn attempt_id(&self, names: &Names) -> &str {
-        self.head.fields.text(names.attempt).unwrap_or_default()
+    pub fn attempt_id(&self, header_names: &Names) -> &str {
+        self.head
+            .fields
+            .text(header_names.attempt)
+            .unwrap_or_default()
     }
 
     /// Encodes the request for `engine`, with the gateway's own fields in place of the caller's.
-    pub fn encode(&self, names: &Names, engine: &Engine, options: &AttemptOptions<'_>) -> Vec<u8> {
+    pub fn encode(
+        &self,
+        header_names: &Names,
+        engine: &Engine,
+        options: &AttemptOptions<'_>,
+    ) -> Vec<u8> {
         let head = self.head;
         let mut message = Message::request(head.method(), head.target());
         for (name, value) in head.fields.iter() {
-            if !is_withheld(name, names, head) {
+            if !is_withheld(name, header_names, head) {
                 message = message.field(name, value);
             }
         }
         let remaining_millis = self.deadline.millis_since(options.now);
         message = message
-            .number(names.deadline, remaining_millis)
-            .field(names.expect_engine.as_bytes(), engine.record.id.as_bytes());
+            .number(header_names.deadline, remaining_millis)
+            .field(
+                header_names.expect_engine.as_bytes(),
+                engine.record.id.as_bytes(),
+            );
         if let Some(account) = &self.account {
-            message = message.field(names.tenant.as_bytes(), account.as_bytes());
+            message = message.field(header_names.tenant.as_bytes(), account.as_bytes());
         }
         if options.required_version > Version::default() {
-            message = message.number(names.expect_version, options.required_version.0);
+            message = message.number(header_names.expect_version, options.required_version.0);
         }
         let last_event_id = options
             .last_event_id
-            .or_else(|| head.fields.get(names.last_event));
+            .or_else(|| head.fields.get(header_names.last_event));
         if let Some(last_event_id) = last_event_id {
-            message = message.field(names.last_event.as_bytes(), last_event_id);
+            message = message.field(header_names.last_event.as_bytes(), last_event_id);
         }
         if self.body.is_empty() && head.method() == b"GET" {
             return message.end();
@@ -226,16 +241,16 @@
 
 /// True for a field of the caller that doesn't go to the engine: a hop-by-hop field, or one that
 /// the gateway sets itself.
-fn is_withheld(name: &[u8], names: &Names, head: &Request) -> bool {
+fn is_withheld(name: &[u8], header_names: &Names, head: &Request) -> bool {
     let matches_name = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
     let gateway_fields = [
-        names.deadline,
-        names.key,
-        names.tenant,
-        names.expect_engine,
-        names.expect_version,
-        names.last_event,
-        names.priority,
+        header_names.deadline,
+        header_names.key,
+        header_names.tenant,
+        header_names.expect_engine,
+        header_names.expect_version,
+        header_names.last_event,
+        header_names.priority,
         EXPECT,
     ];
     let is_connection_option =
--- a/crates/gingerpier_gateway/src/proxy/stream.rs
+++ b/crates/gingerpier_gateway/src/proxy/stream.rs
@@ -164,8 +164,8 @@
         mut decoder,
         is_request_sent,
     } = response;
-    let names = forwarder.state.dialect.names();
-    let version = Version(head.fields.number(names.version).unwrap_or_default());
+    let header_names = forwarder.state.protocol.names();
+    let version = Version(head.fields.number(header_names.version).unwrap_or_default());
     let mut output = Vec::new();
     if !progress.has_begun {
         progress.version = version;
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -83,7 +83,7 @@
     pub async fn read(
         &mut self,
         client: &mut Client,
-        dialect: &dyn Dialect,
+        protocol: &dyn Dialect,
         scope: Scope,
         stale: bool,
     ) -> Result<Instant, Error> {
@@ -97,16 +97,16 @@
             let started = *self.started.get_or_insert_with(clock::now);
             let is_first_page = self.items.is_empty();
             let after = self.items.last().map_or("", |item| item.key.as_str());
-            let request = dialect.list(scope, after, stale);
+            let request = protocol.list(scope, after, stale);
             let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
-            let page = read_page(client.peer(), dialect, &response)?;
+            let page = read_page(client.peer(), protocol, &response)?;
             if is_first_page {
                 self.revision = page.at;
             }
             self.last_page_revision = page.at;
             let items = page.items.into_iter();
             self.items
-                .extend(items.map(|item| strip_unused_value(dialect, item)));
+                .extend(items.map(|item| strip_unused_value(protocol, item)));
             if !page.has_more {
                 return Ok(started);
             }
@@ -121,28 +121,28 @@
 /// Fails if a page can't be read.
 pub async fn read_full(
     client: &mut Client,
-    dialect: &dyn Dialect,
+    protocol: &dyn Dialect,
     scope: Scope,
     stale: bool,
 ) -> Result<FullCopy, Error> {
     let mut copy = FullCopy::default();
-    copy.read(client, dialect, scope, stale).await?;
+    copy.read(client, protocol, scope, stale).await?;
     Ok(copy)
 }
 
 /// Creates a client of the store at `peer` that uses a small request to tell a dead connection from
 /// a slow network.
-pub fn client(peer: SocketAddr, dialect: &dyn Dialect) -> Client {
-    Client::new(peer).with_probe(small_request(dialect))
+pub fn client(peer: SocketAddr, protocol: &dyn Dialect) -> Client {
+    Client::new(peer).with_probe(small_request(protocol))
 }
 
 /// Request for an empty page that may be stale, which costs little.
-fn small_request(dialect: &dyn Dialect) -> Call {
-    dialect.list(Scope::Everything, AFTER_LAST_KEY, true)
+fn small_request(protocol: &dyn Dialect) -> Call {
+    protocol.list(Scope::Everything, AFTER_LAST_KEY, true)
 }
 
-fn read_page(peer: SocketAddr, dialect: &dyn Dialect, response: &Whole) -> Result<Page, Error> {
-    let page = dialect.read_list(response.head.status, &response.body);
+fn read_page(peer: SocketAddr, protocol: &dyn Dialect, response: &Whole) -> Result<Page, Error> {
+    let page = protocol.read_list(response.head.status, &response.body);
     page.map_err(|cause| Error::Response {
         step: Operation::Parse,
         peer,
@@ -157,14 +157,14 @@
 /// Fails if the request fails or the response is invalid.
 pub async fn watch(
     client: &mut Client,
-    dialect: &dyn Dialect,
+    protocol: &dyn Dialect,
     scope: Scope,
     after: Revision,
     millis: u64,
 ) -> Result<Watched, Error> {
-    let request = dialect.watch(scope, after, millis);
+    let request = protocol.watch(scope, after, millis);
     let response = client.call(&request, millis + WATCH_SLACK_MILLIS).await?;
-    let watched = dialect.read_watch(response.head.status, &response.body);
+    let watched = protocol.read_watch(response.head.status, &response.body);
     watched.map_err(|cause| Error::Response {
         step: Operation::Parse,
         peer: client.peer(),
@@ -191,7 +191,7 @@
     let mut watching = Watching::new(state.settings.control, clock::now());
     let client = Client::recording(state.settings.store, state.store_received_at.clone());
     let mut polling = Polling {
-        client: client.with_probe(small_request(state.dialect)),
+        client: client.with_probe(small_request(state.protocol)),
         copy: FullCopy::default(),
         needs_copy: false,
         has_missed_changes: false,
@@ -307,7 +307,7 @@
     state.metrics.store_calls.inc();
     let Polling { client, copy, .. } = polling;
     let started = copy
-        .read(client, state.dialect, Scope::Everything, false)
+        .read(client, state.protocol, Scope::Everything, false)
         .await?;
     let copy = std::mem::take(&mut polling.copy);
     state.record_store_response(copy.last_page_revision);
@@ -330,7 +330,14 @@
         true => MISSED_WATCH_WAIT_MILLIS,
         false => WATCH_WAIT_MILLIS,
     };
-    let watched = watch(client, state.dialect, Scope::Everything, after, wait_millis).await;
+    let watched = watch(
+        client,
+        state.protocol,
+        Scope::Everything,
+        after,
+        wait_millis,
+    )
+    .await;
     client.max_body_bytes = MAX_RESPONSE_BYTES;
     let is_too_long = |error: &Error| matches!(error, Error::Http { cause, .. } if *cause == gingerpier_http1::error::Error::BodyTooLong);
     if watched.as_ref().is_err_and(is_too_long) {
@@ -376,9 +383,11 @@
 /// True if the mirror has reached the store's revision, which an empty page shows.
 async fn is_current(state: &State, client: &mut Client) -> Result<bool, Error> {
     state.metrics.store_calls.inc();
-    let request = state.dialect.list(Scope::Everything, AFTER_LAST_KEY, false);
+    let request = state
+        .protocol
+        .list(Scope::Everything, AFTER_LAST_KEY, false);
     let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
-    let page = read_page(client.peer(), state.dialect, &response)?;
+    let page = read_page(client.peer(), state.protocol, &response)?;
     state.record_store_response(page.at);
     Ok(page.at <= state.mirror.borrow().at())
 }
