--- a/crates/gingerpier_membership/src/member.rs
+++ b/crates/gingerpier_membership/src/member.rs
@@ -1,4 +1,4 @@
-//! A box and the information from which its status is derived.
+//! A box and the state from which its liveness is derived.
 
 use {
     gingerpier_base::{
@@ -27,7 +27,7 @@
     Leaving,
 }
 
-/// Status of a box, derived from its listing and link.
+/// Whether a box gets new requests, derived from its listing and link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Liveness {
@@ -88,7 +88,7 @@
     pub link: Link,
     /// Process run that is known to be shutting down.
     pub leaving: Option<Incarnation>,
-    /// Number of recent disconnects; bounds the reconnect backoff.
+    /// Number of recent disconnects; determines the reconnect backoff.
     pub disconnects: u32,
     /// Time of the last disconnect.
     pub disconnected_at: Instant,
--- a/crates/gingerpier_membership/src/merge.rs
+++ b/crates/gingerpier_membership/src/merge.rs
@@ -1,4 +1,4 @@
-//! Derives the status of each box from the box list and this process's links.
+//! Derives the liveness of each box from the box list and this process's links.
 
 use {
     crate::member::{BoxKey, Link, Listing, Liveness, Member},
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Status of a box; [`Liveness::Gone`] if the key is not known.
+    /// Liveness of a box; [`Liveness::Gone`] if the key is not known.
     pub fn liveness(&self, key: BoxKey, now: Instant) -> Liveness {
         self.members
             .get(&key)
@@ -151,7 +151,7 @@
 }
 
 impl Member {
-    /// Status at `now`.
+    /// Liveness at `now`.
     pub fn liveness(&self, now: Instant) -> Liveness {
         match (self.link, self.listing) {
             (Link::Down, Listing::Absent) => Liveness::Gone,
--- a/crates/gingerpier_once/src/claims.rs
+++ b/crates/gingerpier_once/src/claims.rs
@@ -1,7 +1,7 @@
-//! Registry in which the issuer of tickets grants at most one concurrent execution of each.
+//! Claims on tickets: the issuer of a ticket grants at most one execution of its request.
 //!
-//! Expired tickets are rejected as unknown, so removing their records never allows a second
-//! execution.
+//! A claim on an expired ticket gets [`Verdict::Unknown`], so removing its record never allows a
+//! second execution.
 
 use {
     crate::ticket::Ticket,
@@ -30,7 +30,7 @@
     Forged,
 }
 
-/// Final outcome of a grant, as reported by its holder.
+/// Final outcome of a granted claim, as reported by its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Settlement {
@@ -74,7 +74,7 @@
 }
 
 impl Claims {
-    /// Creates the registry of the process `owner`, which signs its tickets with `secret`.
+    /// Creates the claims of the process `owner`, which signs its tickets with `secret`.
     pub const fn new(owner: Incarnation, secret: u64, retention_millis: u64) -> Self {
         Self {
             owner,
--- a/crates/gingerpier_once/src/dedup.rs
+++ b/crates/gingerpier_once/src/dedup.rs
@@ -113,13 +113,13 @@
 #[derive(Debug)]
 pub struct Deduplicator {
     incarnation: Incarnation,
-    /// Time for which finished and refused attempts are recorded.
+    /// Time for which finished, refused and revoked attempts are recorded.
     retention_millis: u64,
     senders: BTreeMap<Incarnation, Sender>,
 }
 
 impl Deduplicator {
-    /// Creates an empty registry for the process run `incarnation`.
+    /// Creates a deduplicator for the process run `incarnation`, without any attempts.
     pub const fn new(incarnation: Incarnation, retention_millis: u64) -> Self {
         Self {
             incarnation,
@@ -128,13 +128,13 @@
         }
     }
 
-    /// Process run that this registry belongs to.
+    /// Process run to which attempts must be addressed.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Decides whether to start an attempt addressed to the process run `addressed`; `ready` holds
-    /// the reason why the engine can't run it, if any.
+    /// Decides whether to start an attempt addressed to the process run `addressed`; `ready` is the
+    /// refusal of an attempt that the engine can't run.
     pub fn admit(
         &mut self,
         key: AttemptKey,
--- a/crates/gingerpier_once/src/lib.rs
+++ b/crates/gingerpier_once/src/lib.rs
@@ -5,9 +5,10 @@
 //! grant the right to run the request. They are kept in memory and end with the process; if the
 //! owner can't be reached, the result is reported as unknown.
 //!
-//! At the backend server, the [`dedup::Deduplicator`] starts each attempt at most once, refuses attempts that
-//! were revoked or addressed to another run of the process, and thereby proves that an attempt did
-//! not run. [`lifecycle::Lifecycle`] is the state machine of one request at an entry box.
+//! At the backend server, the [`dedup::Deduplicator`] starts each attempt at most once, refuses
+//! attempts that were revoked or addressed to another run of the process, and thereby proves that
+//! an attempt did not run. [`lifecycle::Lifecycle`] is the state machine of one request at an entry
+//! box.
 //!
 //! ```
 //! use gingerpier_base::{place::Incarnation, time::Instant};
@@ -17,7 +18,7 @@
 //! let now = Instant::from_millis(0);
 //! let mut claims = Claims::new(owner, 42, 600_000);
 //! let ticket = claims.issue(now);
-//! let Verdict::Granted(grant) = claims.claim(ticket, owner, now) else { panic!("claim was not granted") };
+//! let Verdict::Granted(grant) = claims.claim(ticket, owner, now) else { panic!("refused") };
 //! assert_eq!(claims.claim(ticket, owner, now), Verdict::Running);
 //! claims.settle(ticket, grant, Settlement::Answered);
 //! assert_eq!(claims.claim(ticket, owner, now), Verdict::Answered);
--- a/crates/gingerpier_once/src/lifecycle.rs
+++ b/crates/gingerpier_once/src/lifecycle.rs
@@ -54,7 +54,7 @@
     SelectEngine,
     /// Send the attempt to the selected engine.
     Send(AttemptKey),
-    /// Ask the backend server to reject the attempt, or to cancel it if it runs.
+    /// Ask the backend server to refuse the attempt, or to cancel it if it runs.
     Revoke(AttemptKey),
     /// Request the rest of the response from another engine of the same version.
     Resume,
@@ -108,8 +108,8 @@
 }
 
 impl Lifecycle {
-    /// Creates the state of a request that fails at `deadline` or after `tries` attempts;
-    /// `can_resume` allows to continue a truncated response at another engine.
+    /// Creates the state of a request that fails at `deadline` or after `max_attempts`
+    /// attempts; `can_resume` allows continuing a truncated response at another engine.
     pub const fn new(
         idempotency: Idempotency,
         deadline: Instant,
@@ -132,7 +132,7 @@
         self.may_have_run
     }
 
-    /// Prevents that a truncated response is continued at another engine.
+    /// Disables continuing a truncated response at another engine.
     pub const fn disable_resume(&mut self) {
         self.can_resume = false;
     }
--- a/crates/gingerpier_once/tests/schedules.rs
+++ b/crates/gingerpier_once/tests/at_most_once.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    fn claim_and_send(&mut self, index: usize) {
+    fn start(&mut self, index: usize) {
         let entry = self.holders[index].entry;
         match self.claims.claim(self.ticket, entry, NOW) {
             Verdict::Granted(grant) => {
@@ -137,12 +137,12 @@
     }
 
     /// Delivers one message; `is_reply_delivered` is false if a refusal is lost on its way back.
-    fn deliver(&mut self, message_index: usize, ready: bool, is_reply_delivered: bool) {
+    fn deliver(&mut self, message_index: usize, is_ready: bool, is_reply_delivered: bool) {
         if self.network.is_empty() {
             return;
         }
         let message = self.network.swap_remove(message_index % self.network.len());
-        let ready = if ready { Ok(()) } else { Err(Refusal::Full) };
+        let ready = if is_ready { Ok(()) } else { Err(Refusal::Full) };
         match self
             .deduplicator
             .admit(message.key, message.addressed, ready, NOW)
@@ -192,13 +192,13 @@
         let mut simulation = Simulation::new();
         for (step, message_index, first_flag, second_flag) in steps {
             let index = usize::from(first_flag);
-            let is_started = simulation.holders[index].grant.is_some();
+            let started = simulation.holders[index].grant.is_some();
             match step {
-                0 if !is_started && !simulation.holders[index].is_finished => simulation.claim_and_send(index),
+                0 if !started && !simulation.holders[index].is_finished => simulation.start(index),
                 1..=3 => simulation.deliver(usize::from(message_index), first_flag, second_flag),
                 4 => simulation.restart_backend(),
-                5 if is_started => simulation.handle_event(index, Event::LinkLost, second_flag),
-                6 if is_started => simulation.handle_event(index, Event::CallerGone, second_flag),
+                5 if started => simulation.handle_event(index, Event::LinkLost, second_flag),
+                6 if started => simulation.handle_event(index, Event::CallerGone, second_flag),
                 _ => {}
             }
             simulation.assert_at_most_once();
@@ -213,7 +213,7 @@
 #[test]
 fn refusal_after_restart_is_no_proof_that_attempt_did_not_run() {
     let mut simulation = Simulation::new();
-    simulation.claim_and_send(0);
+    simulation.start(0);
     let message = simulation.network[0];
     simulation.network.push(message);
     simulation.deliver(0, true, true);
--- a/crates/gingerpier_rollout/src/planner.rs
+++ b/crates/gingerpier_rollout/src/planner.rs
@@ -95,17 +95,17 @@
         engine_states: &BTreeMap<&Name, &EngineState>,
         now: Instant,
     ) -> Vec<Name> {
-        let usable = |engine: &Name| {
+        let is_usable = |engine: &Name| {
             engine_states
                 .get(engine)
                 .is_some_and(|state| state.is_usable)
         };
         self.replacement_deadlines
-            .retain(|engine, _| catalogue.assignments().contains_key(engine) && !usable(engine));
+            .retain(|engine, _| catalogue.assignments().contains_key(engine) && !is_usable(engine));
         let unusable = catalogue
             .assignments()
             .iter()
-            .filter(|(engine, _)| !usable(engine));
+            .filter(|(engine, _)| !is_usable(engine));
         for (engine, assignment) in unusable {
             // Engines of a backend server that an operator withdrew are replaced at once.
             let is_withdrawn = catalogue.withdrawal(&assignment.server).is_some();
@@ -137,7 +137,7 @@
 
 impl Round<'_> {
     fn plan_model(&mut self, key: ModelKey, model: &Model) {
-        self.release_unneeded_engines(key, model);
+        self.unassign_unneeded_engines(key, model);
         let mut are_contracts_ready = true;
         for contract in &model.contracts {
             are_contracts_ready &= self.plan_contract(key, model, contract);
@@ -149,7 +149,7 @@
 
     /// Unassigns the model's engines in zones without a contract, or all of them if no version is
     /// wanted.
-    fn release_unneeded_engines(&mut self, key: ModelKey, model: &Model) {
+    fn unassign_unneeded_engines(&mut self, key: ModelKey, model: &Model) {
         let is_unwanted = model.live.is_empty() && model.rollout.is_none();
         let is_served = |zone: &Name| {
             model
@@ -157,11 +157,11 @@
                 .iter()
                 .any(|contract| contract.zone == *zone)
         };
-        let released = self
+        let unneeded = self
             .engines_of(key)
             .filter(|(_, assignment)| is_unwanted || !is_served(&assignment.zone));
-        let released: Vec<Name> = released.map(|(engine, _)| engine.clone()).collect();
-        for engine in released {
+        let unneeded: Vec<Name> = unneeded.map(|(engine, _)| engine.clone()).collect();
+        for engine in unneeded {
             self.unassign(&engine);
         }
     }
@@ -195,10 +195,10 @@
         };
         let wanted = (contract.replicas as usize * percent as usize).div_ceil(100);
         self.assign_version(&replicas, rollout.to, wanted);
-        let ready = replicas.engines.iter().filter(|(engine, version)| {
+        let ready_engines = replicas.engines.iter().filter(|(engine, version)| {
             *version == rollout.to && self.is_ready(engine, rollout.to)
         });
-        ready.count() >= wanted
+        ready_engines.count() >= wanted
     }
 
     fn replicas<'a>(&self, key: ModelKey, zone: &'a Name) -> Replicas<'a> {
@@ -251,19 +251,19 @@
 
     /// Assigns `to` to engines until `wanted` have it, within the limit on concurrent loads.
     fn assign_version(&mut self, replicas: &Replicas<'_>, to: VersionKey, wanted: usize) {
-        let on_target_count = replicas
+        let assigned_count = replicas
             .engines
             .iter()
             .filter(|(_, version)| *version == to)
             .count();
-        let loading = replicas
+        let loading_engines = replicas
             .engines
             .iter()
             .filter(|(engine, version)| self.is_usable(engine) && !self.is_ready(engine, *version));
         let max_loading =
             (replicas.engines.len() * self.policy.max_loading_percent as usize).div_ceil(100);
-        let free_slots = max_loading.saturating_sub(loading.count());
-        let count = wanted.saturating_sub(on_target_count).min(free_slots);
+        let free_slots = max_loading.saturating_sub(loading_engines.count());
+        let count = wanted.saturating_sub(assigned_count).min(free_slots);
         let candidates = replicas
             .engines
             .iter()
--- a/crates/gingerpier_weights/src/fetch.rs
+++ b/crates/gingerpier_weights/src/fetch.rs
@@ -148,6 +148,7 @@
     cached_count: u32,
     /// Lowest chunk that the window has not reached.
     next_chunk: u32,
+    /// Chunks that are being fetched.
     open_chunks: BTreeMap<u32, Chunk>,
     /// Replicas that sent corrupt data; skipped while other sources are left.
     corrupt_replicas: BTreeSet<ReplicaKey>,
--- a/crates/gingerpier_weights/src/lib.rs
+++ b/crates/gingerpier_weights/src/lib.rs
@@ -1,11 +1,11 @@
 //! Distribution of model weights: manifests, chunks and the sources of each chunk.
 //!
 //! A version of weights is described by a [`manifest::Manifest`]: its files, split into chunks that
-//! each have a digest. The [`plan::Plan`] derives from whom each replica fetches each chunk, with the
-//! same result at every process and without communication. Alternatively, [`relay::Relays`] fetch the
-//! version for the other processes. A [`route::Route`] is the position of one process in either, and
-//! the [`fetch::Fetch`] state machine follows it, falling back to the next source when one stalls or
-//! sends corrupt data.
+//! each have a digest. The [`plan::Plan`] derives from whom each replica fetches each chunk, with
+//! the same result at every process and without communication. Alternatively, [`relay::Relays`]
+//! fetch the version for the other processes. A [`route::Route`] is the position of one process in
+//! either, and the [`fetch::Fetch`] state machine follows it, falling back to the next source when
+//! one stalls or sends corrupt data.
 //!
 //! ```
 //! use gingerpier_weights::manifest::Builder;
--- a/crates/gingerpier_weights/src/memory.rs
+++ b/crates/gingerpier_weights/src/memory.rs
@@ -1,7 +1,7 @@
-//! Memory reservations for chunks, which are kept in memory only.
+//! Reservations of memory for the chunks of versions, which are not stored on disk.
 //!
 //! The memory of a whole version is reserved before any chunk is fetched, so a version that doesn't
-//! fit is rejected at once. Versions assigned to engines are never evicted.
+//! fit is refused at once. Versions assigned to engines are never evicted.
 
 use {displaydoc::Display, gingerpier_base::Digest, std::collections::BTreeMap};
 
--- a/crates/gingerpier_weights/src/plan.rs
+++ b/crates/gingerpier_weights/src/plan.rs
@@ -25,10 +25,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaKey(pub u32);
 
-/// A backend server that fetches the version.
+/// Process that takes part in the distribution of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Replica {
-    /// Stable hash of the box's name.
+    /// Stable hash that identifies the process.
     pub identity: u64,
     /// Stable hash of its region.
     pub region: u64,
--- a/crates/gingerpier_weights/src/relay.rs
+++ b/crates/gingerpier_weights/src/relay.rs
@@ -135,7 +135,7 @@
     }
 
     /// True if each relay may request the manifest from the origin.
-    pub const fn may_all_use_origin(&self) -> bool {
+    pub const fn may_all_request_manifest(&self) -> bool {
         self.relays.len() <= MAX_RELAYS_AT_ORIGIN
     }
 
--- a/crates/gingerpier_weights/src/route.rs
+++ b/crates/gingerpier_weights/src/route.rs
@@ -109,7 +109,9 @@
     pub fn may_request_manifest_from_origin(&self) -> bool {
         match self {
             Self::Tree { .. } => true,
-            Self::Relay { relays, own, .. } => relays.may_all_use_origin() || relays.is_head(*own),
+            Self::Relay { relays, own, .. } => {
+                relays.may_all_request_manifest() || relays.is_head(*own)
+            }
             Self::Leaf { .. } => false,
         }
     }
--- a/crates/gingerpier_weights/tests/spreading.rs
+++ b/crates/gingerpier_weights/tests/distribution.rs
@@ -45,13 +45,13 @@
         }
         assert_eq!(from_origin, 1);
     }
-    let (least, most) = (uploads.iter().min(), uploads.iter().max());
+    let (min, max) = (uploads.iter().min(), uploads.iter().max());
     let mean = f64::from(CHUNKS) * 99.0 / 100.0;
-    let most = f64::from(*most.expect("uploads must not be empty"));
-    let least = f64::from(*least.expect("uploads must not be empty"));
+    let max = f64::from(*max.expect("uploads must not be empty"));
+    let min = f64::from(*min.expect("uploads must not be empty"));
     assert!(
-        most < 1.1 * mean && least > 0.9 * mean,
-        "{least} to {most}, mean {mean}"
+        max < 1.1 * mean && min > 0.9 * mean,
+        "{min} to {max}, mean {mean}"
     );
 }
 
@@ -270,11 +270,11 @@
     }
 
     #[test]
-    fn manifest_decoder_rejects_arbitrary_bytes_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
+    fn manifest_decoder_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..256)) {
         let _ = Manifest::from_unverified_bytes(&bytes);
         let other = Digest::of(b"other");
-        let refused = matches!(Manifest::from_bytes(&bytes, other), Err(Error::Digest { .. }));
-        prop_assert!(refused);
+        let is_refused = matches!(Manifest::from_bytes(&bytes, other), Err(Error::Digest { .. }));
+        prop_assert!(is_refused);
     }
 }
 
@@ -287,8 +287,8 @@
     let mut actions = Vec::new();
     fetch.poll(Instant::from_millis(0), &mut actions);
     let is_requested = |chunk| {
-        let is_request = |action: &Action| matches!(action, Action::Request { chunk: other, .. } if *other == chunk);
-        actions.iter().any(is_request)
+        let is_match = |action: &Action| matches!(action, Action::Request { chunk: other, .. } if *other == chunk);
+        actions.iter().any(is_match)
     };
     assert!(
         is_requested(0) && is_requested(1),
@@ -312,11 +312,11 @@
     actions.clear();
     fetch.halve_peer_requests(&mut actions);
     assert!(fetch.max_peer_requests() <= before / 2);
-    let dropped = actions
+    let cancelled = actions
         .iter()
         .filter(|action| matches!(action, Action::Cancel { .. }))
         .count();
-    assert_eq!(dropped, 4, "half of the eight requests must be cancelled");
+    assert_eq!(cancelled, 4, "half of the eight requests must be cancelled");
 }
 
 #[test]
@@ -412,7 +412,7 @@
 }
 
 fn cancelled_peer_requests(actions: &[Action]) -> Vec<(u32, u64)> {
-    let dropped = actions.iter().filter_map(|action| match action {
+    let cancelled = actions.iter().filter_map(|action| match action {
         Action::Cancel {
             chunk,
             attempt,
@@ -420,7 +420,7 @@
         } if *source != Source::Origin => Some((*chunk, *attempt)),
         _ => None,
     });
-    dropped.collect()
+    cancelled.collect()
 }
 
 #[test]
@@ -488,18 +488,18 @@
     const WARM_UP_MILLIS: u64 = 2_000;
     let mut fetch = fetch_by_zone_root(32);
     let mut requested = BTreeSet::new();
-    let mut waiting = Vec::new();
+    let mut waiting_requests = Vec::new();
     // The other root only reports that it is waiting, while the limit of requests to peers is at
     // its minimum.
-    let mut dropped = Vec::new();
-    fetch.poll(Instant::from_millis(0), &mut dropped);
-    fetch.halve_peer_requests(&mut dropped);
-    fetch.halve_peer_requests(&mut dropped);
+    let mut cancelled = Vec::new();
+    fetch.poll(Instant::from_millis(0), &mut cancelled);
+    fetch.halve_peer_requests(&mut cancelled);
+    fetch.halve_peer_requests(&mut cancelled);
     for millis in (0..=3_000).step_by(50) {
         let now = Instant::from_millis(millis);
         let mut actions = Vec::new();
         fetch.poll(now, &mut actions);
-        for (chunk, attempt) in &waiting {
+        for (chunk, attempt) in &waiting_requests {
             fetch.record_progress(*chunk, *attempt, now);
         }
         for action in actions {
@@ -512,7 +512,7 @@
                 continue;
             };
             if source != Source::Origin {
-                waiting.push((chunk, attempt));
+                waiting_requests.push((chunk, attempt));
                 continue;
             }
             fetch.record_outcome(chunk, attempt, Outcome::Failed, now);
@@ -635,7 +635,7 @@
     assert_eq!(received.len(), 96);
     let positions = received.iter().enumerate();
     let max_displacement = positions
-        .map(|(place, chunk)| place.abs_diff(*chunk as usize))
+        .map(|(index, chunk)| index.abs_diff(*chunk as usize))
         .max();
     assert!(
         max_displacement <= Some(8),
--- a/crates/gingerpier_weights/tests/relays.rs
+++ b/crates/gingerpier_weights/tests/relays.rs
@@ -188,7 +188,7 @@
             prop_assert!(visited.insert(current), "cycle through process {current}");
             let is_known = |other: &u64| *other == current || views[current as usize] & (1 << *other) != 0;
             let known: Vec<u64> = (0..12).filter(is_known).collect();
-            let own = known.iter().position(|other| *other == current).expect("a process knows itself");
+            let own = known.iter().position(|other| *other == current).expect("own key");
             let relays = Relays::new(VERSION_HASH, known.iter().copied().map(relay).collect());
             match relay_sources(&relays, own as u32, chunk)[0] {
                 Source::Replica(next) => current = known[next.0 as usize],
