--- a/crates/gingerpier_gateway/src/loader_configuration.rs
+++ b/crates/gingerpier_gateway/src/loader_configuration.rs
@@ -144,7 +144,7 @@
 }
 
 fn encode_service(service: &Service) -> Option<ServiceEntry> {
-    let service_parameters = match &service.kind {
+    let parameters = match &service.kind {
         ServiceKind::Plain => return None,
         ServiceKind::Engines(engines) => ServiceParameters::Engines(EngineParameters {
             slots: engines.slots,
@@ -168,7 +168,7 @@
     Some(ServiceEntry {
         name: service.name.clone(),
         max_connections: service.max_connections,
-        parameters: service_parameters,
+        parameters,
     })
 }
 
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -157,11 +157,11 @@
         let mut models = Vec::new();
         let chunk = chunk.unwrap_or_default();
         let start_times = chunk.iter().filter_map(|(engine, _)| engine.born());
-        let first_start_time = start_times.min().map_or(0, |start_time| start_time.0);
+        let first_start_millis = start_times.min().map_or(0, |start_time| start_time.0);
         let entries = chunk.iter().map(|(engine, report)| DigestEngine {
             start_offset_millis: engine
                 .born()
-                .map_or(0, |start_time| start_time.0 - first_start_time + 1),
+                .map_or(0, |start_time| start_time.0 - first_start_millis + 1),
             ..digest_engine(engine, report, &mut models, now)
         });
         let engines = entries.collect();
@@ -177,7 +177,7 @@
             engines,
             gateways: gateways.unwrap_or_default().to_vec(),
             is_forwarded: false,
-            first_start_millis: first_start_time,
+            first_start_millis,
         }
     };
     (0..part_count).map(part).collect()
