--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -326,7 +326,7 @@
 ///
 /// If a socket can't be bound or a signal handler can't be installed.
 pub async fn run(settings: Settings, protocol: &'static dyn Dialect) -> Result<(), Error> {
-    let lines = log::start();
+    let log_buffer = log::start();
     let peer = settings.peers;
     let bind_error = |step| move |cause| Error::Io { step, peer, cause };
     let listener = TcpListener::bind(peer).await;
@@ -356,6 +356,6 @@
         }
     }
     tracing::info!("loader stops");
-    log::flush(&lines);
+    log::flush(&log_buffer);
     Ok(())
 }
--- a/crates/gingerpier_gateway/src/loader/report.rs
+++ b/crates/gingerpier_gateway/src/loader/report.rs
@@ -71,7 +71,7 @@
         timestamp_millis: subscribe.timestamp_millis,
         last_seen: clock::now(),
         has_gateway_list: previous.is_some_and(|previous| previous.has_gateway_list),
-        configuration_version: subscribe.configuration,
+        configuration_version: subscribe.configuration_version,
         weights_digest: subscribe.weights_digest,
         unreleased: subscribe.unreleased,
     };
@@ -162,7 +162,7 @@
         let version = loader.loaded_version(&model)?;
         Some(Named { model, version })
     });
-    *loader.distributor.served.borrow_mut() = served;
+    *loader.distributor.served_version.borrow_mut() = served;
     is_new
 }
 
--- a/crates/gingerpier_gateway/src/log.rs
+++ b/crates/gingerpier_gateway/src/log.rs
@@ -17,7 +17,7 @@
 };
 
 /// Environment variable with the log filter, such as `debug`.
-const LEVEL_VARIABLE: &str = "GINGERPIER_LOG";
+const FILTER_VARIABLE: &str = "GINGERPIER_LOG";
 
 /// Limit of the buffer; further lines are dropped.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
@@ -104,12 +104,13 @@
 /// Starts logging. Must be called within a runtime.
 pub fn start() -> LogBuffer {
     let buffer = LogBuffer::default();
-    let level = EnvFilter::try_from_env(LEVEL_VARIABLE).unwrap_or_else(|_| EnvFilter::new("info"));
+    let filter =
+        EnvFilter::try_from_env(FILTER_VARIABLE).unwrap_or_else(|_| EnvFilter::new("info"));
     let layer = tracing_logfmt::builder()
         .with_target(false)
         .layer()
         .with_writer(buffer.clone())
-        .with_filter(level);
+        .with_filter(filter);
     // A process that embeds this one may have installed its own subscriber.
     let _ = tracing_subscriber::registry().with(layer).try_init();
     actix_rt::spawn(write_periodically(buffer.clone()));
--- a/crates/gingerpier_gateway/src/message/mod.rs
+++ b/crates/gingerpier_gateway/src/message/mod.rs
@@ -75,7 +75,7 @@
     pub timestamp_millis: u64,
     /// Configuration version known to the gateway; 0 for none.
     #[cbor(n(3), default)]
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// Digest of the engines and origins in that configuration.
     #[cbor(n(4), default)]
     pub weights_digest: u64,
@@ -152,7 +152,7 @@
     pub memory_total: u64,
     /// Slowdown in thousandths; 1,000 is normal speed.
     #[n(7)]
-    pub pace: u32,
+    pub slowdown_permille: u32,
     /// Some of the gateways that subscribe to the loader.
     #[n(8)]
     pub gateways: Vec<Member>,
@@ -204,7 +204,7 @@
     pub unread_tokens: u64,
     /// Slowdown in thousandths; 1,000 is normal speed.
     #[n(7)]
-    pub pace: u32,
+    pub slowdown_permille: u32,
     /// Start time, as 1 plus the milliseconds since `first_start_millis`; 0 if unknown.
     #[cbor(n(8), default)]
     pub start_offset_millis: u64,
@@ -323,7 +323,7 @@
             active: report.active,
             memory_used: report.memory_used,
             memory_total: report.memory_total,
-            pace: (report.pace * 1_000.0) as u32,
+            slowdown_permille: (report.pace * 1_000.0) as u32,
             gateways: Vec::new(),
             echoed_timestamp_millis: 0,
             unread_tokens: report.unread_tokens,
@@ -346,7 +346,7 @@
             active: self.active,
             memory_used: self.memory_used,
             memory_total: self.memory_total,
-            pace: f64::from(self.pace) / 1_000.0,
+            pace: f64::from(self.slowdown_permille) / 1_000.0,
             unread_tokens: self.unread_tokens,
         }
     }
--- a/crates/gingerpier_gateway/src/message/snapshot.rs
+++ b/crates/gingerpier_gateway/src/message/snapshot.rs
@@ -20,7 +20,7 @@
     pub value: Vec<u8>,
     /// True if the key is deleted.
     #[cbor(n(3), default)]
-    pub is_gone: bool,
+    pub is_deleted: bool,
 }
 
 /// Contents of the store, or the changes after a revision.
@@ -29,7 +29,7 @@
 pub struct Snapshot {
     /// Revision that this reaches up to.
     #[n(0)]
-    pub at: u64,
+    pub revision: u64,
     /// Items, or changed items.
     #[n(1)]
     pub items: Vec<StoreItem>,
@@ -44,7 +44,7 @@
         Self {
             key: item.key,
             revision: item.revision.0,
-            is_gone: item.value.is_none(),
+            is_deleted: item.value.is_none(),
             value: item.value.map(|value| value.to_vec()).unwrap_or_default(),
         }
     }
@@ -54,7 +54,7 @@
         Item {
             key: self.key,
             revision: Revision(self.revision),
-            value: (!self.is_gone).then(|| self.value.into()),
+            value: (!self.is_deleted).then(|| self.value.into()),
         }
     }
 }
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -61,7 +61,7 @@
         zone: state.settings.zone.clone(),
         releases: state.releases(),
         timestamp_millis: clock::now().as_millis(),
-        configuration: configuration
+        configuration_version: configuration
             .as_ref()
             .map_or(0, |configuration| configuration.version),
         weights_digest: configuration.map_or(0, |configuration| configuration.weights_digest()),
--- a/crates/gingerpier_gateway/src/snapshots.rs
+++ b/crates/gingerpier_gateway/src/snapshots.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct SnapshotKey {
     after: Revision,
-    at: Revision,
+    revision: Revision,
     /// Changes of the mirror so far; the pages of a full copy may be newer than `at`.
     change_count: u64,
     may_compress: bool,
@@ -47,7 +47,7 @@
     pub fn encode(&self, mirror: &Mirror, after: Revision, may_compress: bool) -> EncodedSnapshot {
         let key = SnapshotKey {
             after,
-            at: mirror.at(),
+            revision: mirror.at(),
             change_count: mirror.change_count(),
             may_compress,
         };
@@ -67,7 +67,7 @@
     let is_changes = changes.is_some();
     let items = changes.unwrap_or_else(|| mirror.items().collect());
     let body = message::encode(&Snapshot {
-        at: key.at.0,
+        revision: key.revision.0,
         items: items.into_iter().map(StoreItem::new).collect(),
         is_changes,
     });
--- a/crates/gingerpier_gateway/src/store_sharing.rs
+++ b/crates/gingerpier_gateway/src/store_sharing.rs
@@ -137,9 +137,9 @@
         .metrics
         .record_message(MessageKind::Snapshot, encoded.bytes.len());
     let ages = Ages {
-        last_contact: state.silence_millis(),
-        last_current: state.mirror_age_millis(),
-        wait: clock::now().millis_since(received_at),
+        last_contact_millis: state.silence_millis(),
+        last_current_millis: state.mirror_age_millis(),
+        wait_millis: clock::now().millis_since(received_at),
         last_recovery: RecoveryAge::of(state),
     };
     let response = Message::response(200).field(AGES_FIELD.as_bytes(), ages.text().as_bytes());
@@ -213,7 +213,7 @@
     )
     .await;
     let received = received.ok_or(Failure::Silent)?;
-    let age = received.ages.last_contact;
+    let age = received.ages.last_contact_millis;
     record_outage(state, &received);
     apply_snapshot(state, received);
     if age > max_age_millis {
@@ -236,11 +236,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Ages {
     /// Time since the last contact with the store.
-    last_contact: u64,
+    last_contact_millis: u64,
     /// Time since the snapshot was certainly up to date; none if unknown.
-    last_current: Option<u64>,
+    last_current_millis: Option<u64>,
     /// Time for which the request waited.
-    wait: u64,
+    wait_millis: u64,
     /// Last recovery of the store from an outage; none without a recent outage.
     last_recovery: Option<RecoveryAge>,
 }
@@ -267,14 +267,14 @@
 impl Ages {
     fn text(self) -> String {
         let last_current = self
-            .last_current
+            .last_current_millis
             .map_or_else(String::new, |age| age.to_string());
         let last_recovery = self.last_recovery.map_or_else(String::new, |last| {
             format!(",{},{}", last.remaining_millis, last.revision.0)
         });
         format!(
             "{},{last_current},{}{last_recovery}",
-            self.last_contact, self.wait
+            self.last_contact_millis, self.wait_millis
         )
     }
 
@@ -282,9 +282,9 @@
         let mut parts = std::str::from_utf8(text).ok()?.split(',');
         let mut next = || parts.next();
         Some(Self {
-            last_contact: next()?.parse().ok()?,
-            last_current: next()?.parse().ok(),
-            wait: next()?.parse().ok()?,
+            last_contact_millis: next()?.parse().ok()?,
+            last_current_millis: next()?.parse().ok(),
+            wait_millis: next()?.parse().ok()?,
             last_recovery: next().zip(next()).and_then(|(remaining_millis, revision)| {
                 Some(RecoveryAge {
                     remaining_millis: remaining_millis.parse().ok()?,
@@ -339,9 +339,9 @@
 fn record_outage(state: &State, received: &ReceivedSnapshot) {
     let ages = &received.ages;
     // The response was created at least this long after the request.
-    let created_at = received.sent_at.after_millis(ages.wait);
+    let created_at = received.sent_at.after_millis(ages.wait_millis);
     let confirmed_at = ages
-        .last_current
+        .last_current_millis
         .map(|age| Instant::from_millis(created_at.as_millis().saturating_sub(age)));
     let last_recovery = ages.last_recovery.map(|last| Return {
         revision: last.revision,
@@ -351,7 +351,7 @@
 }
 
 fn apply_snapshot(state: &State, received: ReceivedSnapshot) {
-    let at = Revision(received.snapshot.at);
+    let at = Revision(received.snapshot.revision);
     let items = received.snapshot.items.into_iter();
     let items = items.map(StoreItem::item).collect();
     if received.snapshot.is_changes {
@@ -361,8 +361,8 @@
     }
     state.record_peer_freshness(
         received.sent_at,
-        received.ages.last_current,
-        received.ages.wait,
+        received.ages.last_current_millis,
+        received.ages.wait_millis,
     );
 }
 
@@ -416,11 +416,11 @@
     let mut client = Client::accepting_compression(peer);
     let received = exchange(&mut client, &snapshot_request, RESPONSE_TIMEOUT_MILLIS).await?;
     record_outage(state, &received);
-    if received.snapshot.at <= after.0 {
+    if received.snapshot.revision <= after.0 {
         return None;
     }
-    let age = received.ages.last_contact;
-    tracing::info!(%peer, at = received.snapshot.at, had = after.0, age, "snapshot taken from a gateway");
+    let age = received.ages.last_contact_millis;
+    tracing::info!(%peer, at = received.snapshot.revision, had = after.0, age, "snapshot taken from a gateway");
     apply_snapshot(state, received);
     Some(age)
 }
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -24,7 +24,7 @@
 /// Concurrent chunk requests to the origin: one transfers while the next waits.
 const MAX_ORIGIN_REQUESTS: usize = 2;
 
-const TERMS: Terms = Terms {
+const POLICY: Terms = Terms {
     window: 24,
     stall_millis: 1_200,
     patience_millis: 4_000,
@@ -129,7 +129,7 @@
     let Some(manifest) = distributor.manifest(model_version) else {
         return;
     };
-    let served = distributor.served.borrow().clone();
+    let served = distributor.served_version.borrow().clone();
     if served.is_some_and(|served| served != *model_version) {
         // The engine's staging area contains another version.
         return;
@@ -187,15 +187,15 @@
         spec: &FetchSpec,
         model_version: Named,
     ) -> Self {
-        let terms = Terms {
+        let policy = Terms {
             window: spec.window,
             patience_millis: spec.attempt_timeout_millis,
-            ..TERMS
+            ..POLICY
         };
         let manifest = distributor.manifest(&model_version);
         let count = manifest.map_or(0, |manifest| manifest.digests.len());
         let origin_chunks = spec.route.entries(count as u32);
-        let mut fetch = Fetch::along(terms, spec.route.clone(), count as u32);
+        let mut fetch = Fetch::along(policy, spec.route.clone(), count as u32);
         let chunk_cache = distributor.chunk_cache.borrow();
         if let Some(chunk_set) = chunk_cache.get(&model_version.model, model_version.version) {
             for chunk in 0..count as u32 {
@@ -221,7 +221,7 @@
             pool: Rc::default(),
             sender,
             events,
-            attempt_timeout_millis: terms.patience_millis,
+            attempt_timeout_millis: policy.patience_millis,
             in_flight: HashMap::new(),
             actions: Vec::new(),
             last_halved: Instant::default(),
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -53,11 +53,11 @@
     /// Engine on this machine; none on gateways.
     pub engine: Option<SocketAddr>,
     /// Version that the local engine serves.
-    pub served: RefCell<Option<Named>>,
+    pub served_version: RefCell<Option<Named>>,
     /// Versions that this process fetches or is about to fetch.
     pub fetching: RefCell<Vec<Named>>,
     /// Version that a peer last requested and that isn't cached here.
-    pub requested: RefCell<Option<Named>>,
+    pub requested_version: RefCell<Option<Named>>,
     /// Send rate limit for chunks; set where the link is narrow.
     pub pacer: Option<RefCell<Pace>>,
     /// Notified when a chunk or a manifest is cached.
@@ -91,9 +91,9 @@
             chunk_cache: RefCell::default(),
             configuration: RefCell::default(),
             engine: None,
-            served: RefCell::default(),
+            served_version: RefCell::default(),
             fetching: RefCell::default(),
-            requested: RefCell::default(),
+            requested_version: RefCell::default(),
             pacer: None,
             arrived: Notify::new(),
             upload_permits: Semaphore::new(MAX_UPLOADS_WIDE),
@@ -148,7 +148,7 @@
             |other: &Named| other.model == model && other.version > Version::default();
         FetchStatus {
             is_fetching: self.fetching.borrow().iter().any(is_of_model),
-            chunks: of_model.map(ChunkSet::cached_count).sum(),
+            chunk_count: of_model.map(ChunkSet::cached_count).sum(),
         }
     }
 
@@ -163,7 +163,7 @@
 
     /// True if the local engine serves exactly `model_version`.
     pub fn serves(&self, model_version: &Named) -> bool {
-        self.served.borrow().as_ref() == Some(model_version)
+        self.served_version.borrow().as_ref() == Some(model_version)
     }
 }
 
@@ -173,7 +173,7 @@
     /// True if some version is being fetched.
     pub is_fetching: bool,
     /// Number of cached chunks over all versions.
-    pub chunks: usize,
+    pub chunk_count: usize,
 }
 
 /// Time reserved before the deadline of a weight update.
--- a/crates/gingerpier_gateway/src/weights/origin_poll.rs
+++ b/crates/gingerpier_gateway/src/weights/origin_poll.rs
@@ -71,7 +71,7 @@
             let model = model.to_owned();
             state.distributor.is_complete(&Named { model, version })
         }),
-        chunks: fetch_status.chunks,
+        chunks: fetch_status.chunk_count,
         rank: rank(state, model),
     }
 }
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -205,11 +205,11 @@
     if distributor.engine.is_none() {
         // Fetching older weights would compete with newer ones for the origin's link.
         if is_newest {
-            *distributor.requested.borrow_mut() = Some(model_version.clone());
+            *distributor.requested_version.borrow_mut() = Some(model_version.clone());
         }
         return is_newest;
     }
-    let served = distributor.served.borrow();
+    let served = distributor.served_version.borrow();
     let is_newer = |served: &Named| served.version < model_version.version;
     is_newest && served.as_ref().is_none_or(is_newer)
 }
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -56,7 +56,7 @@
     clock::pause(STARTUP_DELAY_MILLIS).await;
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
-        let requested = state.distributor.requested.borrow_mut().take();
+        let requested = state.distributor.requested_version.borrow_mut().take();
         let released = state
             .newest_releases()
             .into_iter()
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -129,7 +129,7 @@
         memory_used: 0,
         memory_total: 0,
         unread_tokens: entry.unread_tokens,
-        pace: f64::from(entry.pace) / 1_000.0,
+        pace: f64::from(entry.slowdown_permille) / 1_000.0,
     }
 }
 
@@ -197,7 +197,7 @@
         queued: report.queued,
         active: report.active,
         unread_tokens: report.unread_tokens,
-        pace: (report.pace * 1_000.0) as u32,
+        slowdown_permille: (report.pace * 1_000.0) as u32,
         start_offset_millis: 0,
     }
 }
--- a/crates/gingerpier_gateway/tests/rolling.rs
+++ b/crates/gingerpier_gateway/tests/rolling.rs
@@ -65,7 +65,7 @@
         queued: 1,
         active: 2,
         unread_tokens: 30,
-        pace: 1_000,
+        slowdown_permille: 1_000,
         start_offset_millis: 7,
     }
 }
