--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -129,7 +129,7 @@
     let Some(manifest) = distributor.manifest(model_version) else {
         return;
     };
-    let served = distributor.served.borrow().clone();
+    let served = distributor.served_version.borrow().clone();
     if served.is_some_and(|served| served != *model_version) {
         // The engine's staging area contains another version.
         return;
