--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -129,7 +129,7 @@
         memory_used: 0,
         memory_total: 0,
         unread_tokens: entry.unread_tokens,
-        pace: f64::from(entry.pace) / 1_000.0,
+        pace: f64::from(entry.slowdown_permille) / 1_000.0,
     }
 }
 
@@ -157,11 +157,11 @@
         let mut models = Vec::new();
         let chunk = chunk.unwrap_or_default();
         let start_times = chunk.iter().filter_map(|(engine, _)| engine.born());
-        let first_start_time = start_times.min().map_or(0, |start_time| start_time.0);
+        let first_start_millis = start_times.min().map_or(0, |start_time| start_time.0);
         let entries = chunk.iter().map(|(engine, report)| DigestEngine {
             start_offset_millis: engine
                 .born()
-                .map_or(0, |start_time| start_time.0 - first_start_time + 1),
+                .map_or(0, |start_time| start_time.0 - first_start_millis + 1),
             ..digest_engine(engine, report, &mut models, now)
         });
         let engines = entries.collect();
@@ -177,7 +177,7 @@
             engines,
             gateways: gateways.unwrap_or_default().to_vec(),
             is_forwarded: false,
-            first_start_millis: first_start_time,
+            first_start_millis,
         }
     };
     (0..part_count).map(part).collect()
@@ -199,7 +199,7 @@
         queued: report.queued,
         active: report.active,
         unread_tokens: report.unread_tokens,
-        pace: (report.pace * 1_000.0) as u32,
+        slowdown_permille: (report.pace * 1_000.0) as u32,
         start_offset_millis: 0,
     }
 }
