--- a/crates/gingerpier_daemon/src/entry/job.rs
+++ b/crates/gingerpier_daemon/src/entry/job.rs
@@ -5,7 +5,7 @@
     bytes::Bytes,
     gingerpier_base::{Digest, Instant, Name},
     gingerpier_catalogue::{Catalogue, ModelKey, VersionKey, model::Contract},
-    gingerpier_once::course::{Reason, Repetition},
+    gingerpier_once::lifecycle::{Idempotency, Reason},
     gingerpier_routing::{
         limits::AccountKey,
         router::{EngineKey, PoolKey},
@@ -57,7 +57,7 @@
     /// Hash of the prompt's start.
     pub prefix: Option<u64>,
     /// Whether it may run more than once.
-    pub repetition: Repetition,
+    pub idempotency: Idempotency,
     /// Right under which it runs.
     pub grant: Option<Grant>,
     /// When it is given up.
@@ -197,7 +197,7 @@
             self.pools_of(&offer, &zones)
         };
         let mut sets: Vec<Vec<PoolKey>> = admitted.iter().map(pools).collect();
-        match self.fleet.borrow_mut().router().draw_pools(&sets, tried) {
+        match self.fleet.borrow_mut().router().select_pools(&sets, tried) {
             Some(drawn) => (Some(admitted.swap_remove(drawn)), sets.swap_remove(drawn)),
             None => (None, Vec::new()),
         }
--- a/crates/gingerpier_daemon/src/entry/mod.rs
+++ b/crates/gingerpier_daemon/src/entry/mod.rs
@@ -21,11 +21,11 @@
         process::{Process, listen},
     },
     gingerpier_base::{Name, place::Role},
-    gingerpier_membership::{BoxKey, Membership, Standing},
+    gingerpier_membership::{BoxKey, Liveness, Membership},
     gingerpier_once::Claims,
     gingerpier_routing::{
         Budget, Limits,
-        limits::{AccountKey, Demand},
+        limits::{AccountKey, Utilization},
     },
     gingerpier_settings::Entry as Settings,
     std::{
@@ -128,14 +128,14 @@
     }
 
     /// Standing of a box, operators' word included.
-    pub fn standing(&self, key: BoxKey) -> Standing {
+    pub fn standing(&self, key: BoxKey) -> Liveness {
         let members = self.members.borrow();
         let Some(member) = members.get(key) else {
-            return Standing::Gone;
+            return Liveness::Gone;
         };
         let catalogue = self.process.ledger.catalogue();
-        match members.standing(key, clock::now()) {
-            Standing::Alive if catalogue.withdrawal(&member.name).is_some() => Standing::Leaving,
+        match members.liveness(key, clock::now()) {
+            Liveness::Alive if catalogue.withdrawal(&member.name).is_some() => Liveness::Leaving,
             standing => standing,
         }
     }
@@ -146,7 +146,7 @@
         let now = clock::now();
         let alive = members.iter().filter(|(key, member)| {
             member.role == Role::Entry
-                && members.standing(*key, now) == Standing::Alive
+                && members.liveness(*key, now) == Liveness::Alive
                 && zone.is_none_or(|zone| member.zone.name == *zone)
         });
         let mut names: Vec<Name> = alive.map(|(_, member)| member.name.clone()).collect();
@@ -171,18 +171,18 @@
         let mut accounts = self.accounts.borrow_mut();
         let key = accounts
             .entry(name.clone())
-            .or_insert_with(|| limits.add(rate, clock::now()));
+            .or_insert_with(|| limits.add_account(rate, clock::now()));
         limits.set_rate(*key, rate);
         *key
     }
 
     /// Engines' load and capacity, and how many entry boxes share it.
-    pub fn demand(&self) -> Demand {
+    pub fn demand(&self) -> Utilization {
         let (load, capacity) = self.fleet.borrow().load_and_capacity();
-        Demand {
+        Utilization {
             load,
             capacity,
-            sharers: self.live_entries(None).len() as u32,
+            entry_boxes: self.live_entries(None).len() as u32,
         }
     }
 
@@ -202,7 +202,7 @@
         actix_rt::spawn(async move {
             loop {
                 clock::pause(SWEEP_MILLIS).await;
-                self.claims.borrow_mut().sweep(clock::now());
+                self.claims.borrow_mut().remove_expired(clock::now());
                 self.process
                     .metrics
                     .revision
--- a/crates/gingerpier_gateway/src/callers/choosing.rs
+++ b/crates/gingerpier_gateway/src/proxy/engine_choice.rs
@@ -109,7 +109,7 @@
             target_share: self.target_share(now),
             fairness: self.state.fairness(request.traffic_class(), now),
             allowed_regions: request.regions,
-            cold_limits: self.state.cold_terms(request.service_settings()),
+            cold_limits: self.state.cold_limits(request.service_settings()),
             zone: &self.state.settings.zone,
             gateway_count: self.state.zones.borrow().gateway_count(),
             other_arrivals_per_milli: self.state.peer_arrivals_per_milli(service, now),
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -1,13 +1,13 @@
 //! State of a gateway, shared by its tasks on one thread.
 
-mod contact;
 mod engines;
-mod naming;
-mod places;
-mod unnamed;
-mod work;
+mod placement;
+mod release;
+mod shedding;
+mod store_contact;
+mod unreleased;
 
-pub use {unnamed::models, work::TrafficClass};
+pub use {shedding::TrafficClass, unreleased::configured_models};
 
 use {
     crate::{
@@ -50,9 +50,9 @@
     /// Settings from the settings file.
     pub settings: Settings,
     /// Protocol of the deployment platform.
-    pub dialect: &'static dyn Dialect,
+    pub protocol: &'static dyn Dialect,
     /// Parser of the store's items.
-    pub items: Parser,
+    pub item_parser: Parser,
     /// Local copy of the store.
     pub mirror: RefCell<Mirror>,
     /// Known engines and their load.
@@ -66,11 +66,11 @@
     /// Membership of the gateways and exchange of digests between zones.
     pub zones: RefCell<Exchange>,
     /// Notified when the mirror changes.
-    pub news: Notify,
+    pub mirror_changed: Notify,
     /// Notified when a known version of weights changes.
     pub release_changed: Notify,
     /// Engine machines of the own zone, known before a configuration is loaded.
-    pub first_loaders: RefCell<BTreeSet<IpAddr>>,
+    pub bootstrap_loaders: RefCell<BTreeSet<IpAddr>>,
     /// Encoded store snapshots for other gateways.
     pub snapshots: Snapshots,
     /// Requests that are suspected of crashing engines.
@@ -90,7 +90,7 @@
     arrivals: RefCell<HashMap<String, Arrivals>>,
     return_detector: RefCell<Detector>,
     prompt_sizes: RefCell<Sizes>,
-    shedding: RefCell<work::SheddingTable>,
+    shedding: RefCell<shedding::SheddingTable>,
     regions: Regions,
     releases: RefCell<HashMap<String, Namings>>,
     /// Version that the origin offers, by model.
@@ -108,7 +108,7 @@
 
 impl State {
     /// Creates the state of a process that starts now.
-    pub fn new(settings: Settings, dialect: &'static dyn Dialect) -> Self {
+    pub fn new(settings: Settings, protocol: &'static dyn Dialect) -> Self {
         let started = clock::now();
         let regions = settings.regions.iter();
         let regions =
@@ -118,20 +118,20 @@
             .in_incarnation(clock::stamp().as_unix_millis());
         Self {
             settings,
-            dialect,
-            items: Parser::new(dialect),
+            protocol,
+            item_parser: Parser::new(protocol),
             mirror: RefCell::default(),
             fleet: RefCell::new(Fleet::of(regions.clone())),
             retry_budgets: RefCell::default(),
             pool: RefCell::default(),
             metrics: Metrics::default(),
             zones: RefCell::new(zones),
-            news: Notify::new(),
+            mirror_changed: Notify::new(),
             release_changed: Notify::new(),
-            first_loaders: RefCell::default(),
+            bootstrap_loaders: RefCell::default(),
             snapshots: Snapshots::default(),
             suspect_state: SuspectState::default(),
-            distributor: Rc::new(Distributor::new(dialect)),
+            distributor: Rc::new(Distributor::new(protocol)),
             is_stopping: Cell::new(false),
             is_closed: Cell::new(false),
             closing: Notify::new(),
@@ -172,7 +172,7 @@
 
     /// Applies changes up to revision `at` from another gateway; keys may have been deleted and
     /// written again in between.
-    pub fn apply(&self, changes: Changes, at: Revision) {
+    pub fn apply_changes(&self, changes: Changes, at: Revision) {
         let changes = self.slim(changes);
         let changes = self.mirror.borrow_mut().apply(changes, at);
         self.handle_changes(changes, |item| Absence::Event(item.revision));
@@ -188,12 +188,12 @@
     fn slim(&self, items: Changes) -> Changes {
         let items = items.into_iter();
         items
-            .map(|item| strip_unused_value(self.dialect, item))
+            .map(|item| strip_unused_value(self.protocol, item))
             .collect()
     }
 
     /// Replaces the mirror with a full copy of the store at revision `at`.
-    pub fn replace(&self, items: Vec<Item>, at: Revision) {
+    pub fn replace_mirror(&self, items: Vec<Item>, at: Revision) {
         let changes = self.mirror.borrow_mut().replace(items, at);
         self.handle_changes(changes, |_| Absence::Listed);
     }
@@ -207,11 +207,11 @@
         }
         let at = self.mirror.borrow().at();
         self.metrics.revision.set(at.0 as i64);
-        self.news.notify_waiters();
+        self.mirror_changed.notify_waiters();
     }
 
     fn handle_item(&self, item: &Item) {
-        match self.items.parse(item) {
+        match self.item_parser.parse(item) {
             Some(Fact::Configuration(configuration)) => self.apply_configuration(*configuration),
             Some(Fact::Engine(record)) => self.list_engine(*record, item.revision),
             Some(Fact::Weights(release)) => self.record_release(&release),
@@ -326,7 +326,7 @@
     }
 
     /// Gateways of all zones that are alive.
-    pub fn living_gateways(&self) -> BTreeSet<GatewayLocation> {
+    pub fn alive_gateways(&self) -> BTreeSet<GatewayLocation> {
         let zones = self.zones.borrow();
         let alive = zones.living(clock::now());
         let location = |(zone, address): (&str, SocketAddr)| GatewayLocation {
@@ -337,7 +337,7 @@
     }
 
     /// Control addresses of the other live gateways of this zone.
-    pub fn neighbours(&self) -> Vec<SocketAddr> {
+    pub fn neighbour_addresses(&self) -> Vec<SocketAddr> {
         let port = self.settings.control.port();
         let neighbours = self.zones.borrow().neighbours();
         let control_address = |peer: SocketAddr| SocketAddr::new(peer.ip(), port);
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -61,19 +61,19 @@
 
 /// Copy of the store, which may be partially read.
 #[derive(Debug, Default)]
-pub struct Copy {
+pub struct FullCopy {
     /// Items that were read.
     pub items: Vec<Item>,
     /// Revision of the first page. Pages are not one snapshot, so a watch has to continue from
     /// here.
-    pub at: Revision,
+    pub revision: Revision,
     /// Revision of the last page.
-    pub newest_at: Revision,
+    pub last_page_revision: Revision,
     /// When the first page was requested.
     started: Option<Instant>,
 }
 
-impl Copy {
+impl FullCopy {
     /// Reads the missing pages; returns when the first page was requested. Pages are kept on an
     /// error, so the next call resumes after them.
     ///
@@ -83,7 +83,7 @@
     pub async fn read(
         &mut self,
         client: &mut Client,
-        dialect: &dyn Dialect,
+        protocol: &dyn Dialect,
         scope: Scope,
         stale: bool,
     ) -> Result<Instant, Error> {
@@ -97,16 +97,16 @@
             let started = *self.started.get_or_insert_with(clock::now);
             let is_first_page = self.items.is_empty();
             let after = self.items.last().map_or("", |item| item.key.as_str());
-            let request = dialect.list(scope, after, stale);
+            let request = protocol.list(scope, after, stale);
             let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
-            let page = read_page(client.peer(), dialect, &response)?;
+            let page = read_page(client.peer(), protocol, &response)?;
             if is_first_page {
-                self.at = page.at;
+                self.revision = page.at;
             }
-            self.newest_at = page.at;
+            self.last_page_revision = page.at;
             let items = page.items.into_iter();
             self.items
-                .extend(items.map(|item| strip_unused_value(dialect, item)));
+                .extend(items.map(|item| strip_unused_value(protocol, item)));
             if !page.has_more {
                 return Ok(started);
             }
@@ -119,34 +119,34 @@
 /// # Errors
 ///
 /// Fails if a page can't be read.
-pub async fn read_all(
+pub async fn read_full(
     client: &mut Client,
-    dialect: &dyn Dialect,
+    protocol: &dyn Dialect,
     scope: Scope,
     stale: bool,
-) -> Result<Copy, Error> {
-    let mut copy = Copy::default();
-    copy.read(client, dialect, scope, stale).await?;
+) -> Result<FullCopy, Error> {
+    let mut copy = FullCopy::default();
+    copy.read(client, protocol, scope, stale).await?;
     Ok(copy)
 }
 
 /// Creates a client of the store at `peer` that uses a small request to tell a dead connection from
 /// a slow network.
-pub fn client(peer: SocketAddr, dialect: &dyn Dialect) -> Client {
-    Client::new(peer).with_probe(small_request(dialect))
+pub fn client(peer: SocketAddr, protocol: &dyn Dialect) -> Client {
+    Client::new(peer).with_probe(small_request(protocol))
 }
 
 /// Request for an empty page that may be stale, which costs little.
-fn small_request(dialect: &dyn Dialect) -> Call {
-    dialect.list(Scope::Everything, AFTER_LAST_KEY, true)
+fn small_request(protocol: &dyn Dialect) -> Call {
+    protocol.list(Scope::Everything, AFTER_LAST_KEY, true)
 }
 
-fn read_page(peer: SocketAddr, dialect: &dyn Dialect, response: &Whole) -> Result<Page, Error> {
-    let page = dialect.read_list(response.head.status, &response.body);
-    page.map_err(|what| Error::Answer {
-        step: Operation::Read,
+fn read_page(peer: SocketAddr, protocol: &dyn Dialect, response: &Whole) -> Result<Page, Error> {
+    let page = protocol.read_list(response.head.status, &response.body);
+    page.map_err(|cause| Error::Response {
+        step: Operation::Parse,
         peer,
-        what,
+        cause,
     })
 }
 
@@ -157,18 +157,18 @@
 /// Fails if the request fails or the response is invalid.
 pub async fn watch(
     client: &mut Client,
-    dialect: &dyn Dialect,
+    protocol: &dyn Dialect,
     scope: Scope,
     after: Revision,
     millis: u64,
 ) -> Result<Watched, Error> {
-    let request = dialect.watch(scope, after, millis);
+    let request = protocol.watch(scope, after, millis);
     let response = client.call(&request, millis + WATCH_SLACK_MILLIS).await?;
-    let watched = dialect.read_watch(response.head.status, &response.body);
-    watched.map_err(|what| Error::Answer {
-        step: Operation::Read,
+    let watched = protocol.read_watch(response.head.status, &response.body);
+    watched.map_err(|cause| Error::Response {
+        step: Operation::Parse,
         peer: client.peer(),
-        what,
+        cause,
     })
 }
 
@@ -176,7 +176,7 @@
 struct Polling {
     client: Client,
     /// Partial copy.
-    copy: Copy,
+    copy: FullCopy,
     /// True if a watch is not enough and a full copy is needed.
     needs_copy: bool,
     /// True if the last watch returned nothing although the store had changed.
@@ -191,8 +191,8 @@
     let mut watching = Watching::new(state.settings.control, clock::now());
     let client = Client::recording(state.settings.store, state.store_received_at.clone());
     let mut polling = Polling {
-        client: client.with_probe(small_request(state.dialect)),
-        copy: Copy::default(),
+        client: client.with_probe(small_request(state.protocol)),
+        copy: FullCopy::default(),
         needs_copy: false,
         has_missed_changes: false,
         consecutive_failures: 0,
@@ -201,10 +201,10 @@
     let mut last_kind = None;
     loop {
         let has_copy = state.mirror.borrow().at() > Revision::default();
-        let step = watching.next(&state.neighbours(), has_copy, clock::now());
+        let step = watching.next(&state.neighbour_addresses(), has_copy, clock::now());
         let kind = std::mem::discriminant(&step);
         if last_kind.replace(kind) != Some(kind) && matches!(step, Step::Store | Step::Probe) {
-            tracing::info!(?step, has_copy, age = ?state.contact_age(), "store is asked by this gateway");
+            tracing::info!(?step, has_copy, age = ?state.contact_age_millis(), "store is asked by this gateway");
         }
         match step {
             Step::Store => poll_store(&state, &mut polling).await,
@@ -227,7 +227,7 @@
                         clock::pause(POLL_PAUSE_MILLIS).await;
                     }
                     Err(failure) => {
-                        tracing::info!(watcher = %member, ?failure, age = ?state.contact_age(), "poll of a watching gateway failed; trying another one");
+                        tracing::info!(watcher = %member, ?failure, age = ?state.contact_age_millis(), "poll of a watching gateway failed; trying another one");
                         watching.note_failure(member, failure, clock::now());
                     }
                 }
@@ -254,13 +254,13 @@
             polling.consecutive_failures = 0;
             // A watch that missed changes, or a pending full read, does not prove freshness.
             if let Some(fresh_at) = fresh_at {
-                state.note_contact(0);
+                state.record_contact(0);
                 state.record_fresh(fresh_at);
                 clock::pause(WATCH_PAUSE_MILLIS).await;
             }
         }
         Err(error) => {
-            state.note_store_failure(&error);
+            state.record_store_failure(&error);
             polling.back_off().await;
         }
     }
@@ -278,13 +278,13 @@
     watching.note_probe(is_ahead, elapsed_millis, clock::now());
     match is_current {
         Ok(true) => {
-            state.note_contact(0);
+            state.record_contact(0);
             state.record_fresh(requested);
             clock::pause(WATCH_PAUSE_MILLIS).await;
         }
         Ok(false) => {}
         Err(error) => {
-            state.note_store_failure(&error);
+            state.record_store_failure(&error);
             polling.back_off().await;
         }
     }
@@ -307,11 +307,11 @@
     state.metrics.store_calls.inc();
     let Polling { client, copy, .. } = polling;
     let started = copy
-        .read(client, state.dialect, Scope::Everything, false)
+        .read(client, state.protocol, Scope::Everything, false)
         .await?;
     let copy = std::mem::take(&mut polling.copy);
-    state.record_store_response(copy.newest_at);
-    state.replace(copy.items, copy.at);
+    state.record_store_response(copy.last_page_revision);
+    state.replace_mirror(copy.items, copy.revision);
     polling.needs_copy = false;
     polling.has_missed_changes = false;
     Ok(started)
@@ -330,9 +330,16 @@
         true => MISSED_WATCH_WAIT_MILLIS,
         false => WATCH_WAIT_MILLIS,
     };
-    let watched = watch(client, state.dialect, Scope::Everything, after, wait_millis).await;
+    let watched = watch(
+        client,
+        state.protocol,
+        Scope::Everything,
+        after,
+        wait_millis,
+    )
+    .await;
     client.max_body_bytes = MAX_RESPONSE_BYTES;
-    let is_too_long = |error: &Error| matches!(error, Error::Http { what, .. } if *what == gingerpier_http1::error::Error::BodyTooLong);
+    let is_too_long = |error: &Error| matches!(error, Error::Http { cause, .. } if *cause == gingerpier_http1::error::Error::BodyTooLong);
     if watched.as_ref().is_err_and(is_too_long) {
         tracing::info!(
             after = after.0,
@@ -376,9 +383,11 @@
 /// True if the mirror has reached the store's revision, which an empty page shows.
 async fn is_current(state: &State, client: &mut Client) -> Result<bool, Error> {
     state.metrics.store_calls.inc();
-    let request = state.dialect.list(Scope::Everything, AFTER_LAST_KEY, false);
+    let request = state
+        .protocol
+        .list(Scope::Everything, AFTER_LAST_KEY, false);
     let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
-    let page = read_page(client.peer(), state.dialect, &response)?;
+    let page = read_page(client.peer(), state.protocol, &response)?;
     state.record_store_response(page.at);
     Ok(page.at <= state.mirror.borrow().at())
 }
--- a/crates/gingerpier_gateway/src/store_sharing.rs
+++ b/crates/gingerpier_gateway/src/store_sharing.rs
@@ -8,7 +8,7 @@
         client::{Client, MAX_RESPONSE_BYTES},
         clock, compression,
         message::{self, Snapshot, StoreItem},
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     futures_util::future::join_all,
@@ -108,12 +108,12 @@
         return Message::response(200).body(state.metrics.text().as_bytes());
     }
     if target == HELD_PATH {
-        return Message::response(200).body(state.held_text().as_bytes());
+        return Message::response(200).body(state.held_requests_text().as_bytes());
     }
     if let Some(fingerprint) = target.strip_prefix(RELEASE_PATH) {
         let is_valid = request.method() == b"POST" && !fingerprint.is_empty();
         let released = if is_valid {
-            state.release(fingerprint)
+            state.dismiss_held(fingerprint)
         } else {
             0
         };
@@ -135,11 +135,11 @@
     );
     state
         .metrics
-        .note_message(Kind::Snapshot, encoded.bytes.len());
+        .record_message(MessageKind::Snapshot, encoded.bytes.len());
     let ages = Ages {
-        last_contact: state.word_age(),
-        last_current: state.fresh_age(),
-        wait: clock::now().millis_since(received_at),
+        last_contact_millis: state.silence_millis(),
+        last_current_millis: state.mirror_age_millis(),
+        wait_millis: clock::now().millis_since(received_at),
         last_recovery: RecoveryAge::of(state),
     };
     let response = Message::response(200).field(AGES_FIELD.as_bytes(), ages.text().as_bytes());
@@ -155,7 +155,7 @@
 async fn wait_for_changes(state: &State, snapshot_request: &SnapshotRequest) {
     let deadline = clock::now().after_millis(snapshot_request.wait_millis.min(MAX_WAIT_MILLIS));
     while state.mirror.borrow().at() <= snapshot_request.after {
-        let changes = clock::before(deadline, state.news.notified());
+        let changes = clock::before(deadline, state.mirror_changed.notified());
         if changes.await.is_none() {
             return;
         }
@@ -213,13 +213,13 @@
     )
     .await;
     let received = received.ok_or(Failure::Silent)?;
-    let age = received.ages.last_contact;
+    let age = received.ages.last_contact_millis;
     record_outage(state, &received);
     apply_snapshot(state, received);
     if age > max_age_millis {
         return Err(Failure::Old);
     }
-    state.note_contact(age);
+    state.record_contact(age);
     Ok(())
 }
 
@@ -227,7 +227,7 @@
 pub async fn fetch_first_copy(state: &State, peer: SocketAddr) -> bool {
     let age = fetch_snapshot(state, peer).await;
     if let Some(age) = age {
-        state.note_contact(age);
+        state.record_contact(age);
     }
     age.is_some()
 }
@@ -236,11 +236,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Ages {
     /// Time since the last contact with the store.
-    last_contact: u64,
+    last_contact_millis: u64,
     /// Time since the snapshot was certainly up to date; none if unknown.
-    last_current: Option<u64>,
+    last_current_millis: Option<u64>,
     /// Time for which the request waited.
-    wait: u64,
+    wait_millis: u64,
     /// Last recovery of the store from an outage; none without a recent outage.
     last_recovery: Option<RecoveryAge>,
 }
@@ -256,7 +256,7 @@
 
 impl RecoveryAge {
     fn of(state: &State) -> Option<Self> {
-        let last = state.last_return()?;
+        let last = state.last_recovery()?;
         Some(Self {
             remaining_millis: last.until.millis_since(clock::now()),
             revision: last.revision,
@@ -267,14 +267,14 @@
 impl Ages {
     fn text(self) -> String {
         let last_current = self
-            .last_current
+            .last_current_millis
             .map_or_else(String::new, |age| age.to_string());
         let last_recovery = self.last_recovery.map_or_else(String::new, |last| {
             format!(",{},{}", last.remaining_millis, last.revision.0)
         });
         format!(
             "{},{last_current},{}{last_recovery}",
-            self.last_contact, self.wait
+            self.last_contact_millis, self.wait_millis
         )
     }
 
@@ -282,9 +282,9 @@
         let mut parts = std::str::from_utf8(text).ok()?.split(',');
         let mut next = || parts.next();
         Some(Self {
-            last_contact: next()?.parse().ok()?,
-            last_current: next()?.parse().ok(),
-            wait: next()?.parse().ok()?,
+            last_contact_millis: next()?.parse().ok()?,
+            last_current_millis: next()?.parse().ok(),
+            wait_millis: next()?.parse().ok()?,
             last_recovery: next().zip(next()).and_then(|(remaining_millis, revision)| {
                 Some(RecoveryAge {
                     remaining_millis: remaining_millis.parse().ok()?,
@@ -339,30 +339,30 @@
 fn record_outage(state: &State, received: &ReceivedSnapshot) {
     let ages = &received.ages;
     // The response was created at least this long after the request.
-    let created_at = received.sent_at.after_millis(ages.wait);
+    let created_at = received.sent_at.after_millis(ages.wait_millis);
     let confirmed_at = ages
-        .last_current
+        .last_current_millis
         .map(|age| Instant::from_millis(created_at.as_millis().saturating_sub(age)));
     let last_recovery = ages.last_recovery.map(|last| Return {
         revision: last.revision,
         until: created_at.after_millis(last.remaining_millis),
     });
-    state.note_told_outage(confirmed_at, last_recovery);
+    state.record_peer_outage(confirmed_at, last_recovery);
 }
 
 fn apply_snapshot(state: &State, received: ReceivedSnapshot) {
-    let at = Revision(received.snapshot.at);
+    let at = Revision(received.snapshot.revision);
     let items = received.snapshot.items.into_iter();
     let items = items.map(StoreItem::item).collect();
     if received.snapshot.is_changes {
-        state.apply(items, at);
+        state.apply_changes(items, at);
     } else {
-        state.replace(items, at);
+        state.replace_mirror(items, at);
     }
-    state.note_told(
+    state.record_peer_freshness(
         received.sent_at,
-        received.ages.last_current,
-        received.ages.wait,
+        received.ages.last_current_millis,
+        received.ages.wait_millis,
     );
 }
 
@@ -371,7 +371,7 @@
 pub async fn run(state: Rc<State>) {
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
-        if !state.lacks_contact() {
+        if !state.has_stale_contact() {
             continue;
         }
         let polls = choose_peers(&state)
@@ -385,10 +385,10 @@
 /// for its zone. That limits transfers of a large configuration between regions.
 fn choose_peers(state: &State) -> Vec<SocketAddr> {
     let own = state.settings.control;
-    let zone_peers = state.neighbours();
+    let zone_peers = state.neighbour_addresses();
     let mut peers: Vec<SocketAddr> = match watching::is_watcher(own, zone_peers.iter().copied()) {
         true => {
-            let reachable = state.living_gateways().into_iter();
+            let reachable = state.alive_gateways().into_iter();
             let reachable =
                 reachable.map(|gateway| SocketAddr::new(gateway.address.ip(), own.port()));
             reachable
@@ -416,11 +416,11 @@
     let mut client = Client::accepting_compression(peer);
     let received = exchange(&mut client, &snapshot_request, RESPONSE_TIMEOUT_MILLIS).await?;
     record_outage(state, &received);
-    if received.snapshot.at <= after.0 {
+    if received.snapshot.revision <= after.0 {
         return None;
     }
-    let age = received.ages.last_contact;
-    tracing::info!(%peer, at = received.snapshot.at, had = after.0, age, "snapshot taken from a gateway");
+    let age = received.ages.last_contact_millis;
+    tracing::info!(%peer, at = received.snapshot.revision, had = after.0, age, "snapshot taken from a gateway");
     apply_snapshot(state, received);
     Some(age)
 }
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Distributor,
-    crate::{client::Client, clock, figures, store_sharing},
+    crate::{client::Client, clock, loader_configuration, store_sharing},
     bytes::Bytes,
     gingerpier_http1::{connection::Connection, head::Request, writer::Message},
     gingerpier_serving::{dialect::Named, report::Version},
@@ -132,8 +132,8 @@
 
 async fn build_response(distributor: &Distributor, request: &Request) -> Vec<u8> {
     let target = std::str::from_utf8(request.target()).unwrap_or_default();
-    if target == figures::PATH {
-        return figures::reply(distributor);
+    if target == loader_configuration::PATH {
+        return loader_configuration::respond(distributor);
     }
     let Some(peer_request) = PeerRequest::parse(target) else {
         return Message::response(404).body(b"");
@@ -186,7 +186,7 @@
         return None;
     }
     let call = distributor
-        .dialect
+        .protocol
         .laid_chunk(&peer_request.model_version.model, chunk);
     let mut client = Client::new(engine);
     let response = client.call(&call, ENGINE_TIMEOUT_MILLIS).await.ok()?;
@@ -205,11 +205,11 @@
     if distributor.engine.is_none() {
         // Fetching older weights would compete with newer ones for the origin's link.
         if is_newest {
-            *distributor.requested.borrow_mut() = Some(model_version.clone());
+            *distributor.requested_version.borrow_mut() = Some(model_version.clone());
         }
         return is_newest;
     }
-    let served = distributor.served.borrow();
+    let served = distributor.served_version.borrow();
     let is_newer = |served: &Named| served.version < model_version.version;
     is_newest && served.as_ref().is_none_or(is_newer)
 }
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -4,7 +4,7 @@
     crate::{
         clock,
         message::{self, Datagram, Digest, DigestEngine, IndexedVersion},
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     gingerpier_base::Instant,
@@ -46,7 +46,9 @@
         for part in parts(&state, turn, now) {
             let bytes = message::encode(&Datagram::Digest(part));
             for receiver in &receivers {
-                state.metrics.note_message(Kind::Digest, bytes.len());
+                state
+                    .metrics
+                    .record_message(MessageKind::Digest, bytes.len());
                 // A datagram that is not sent counts as lost; the next digest replaces it.
                 let _ = socket.try_send_to(&bytes, *receiver);
             }
@@ -83,7 +85,7 @@
     for neighbour in state.zones.borrow().neighbours() {
         state
             .metrics
-            .note_message(Kind::DigestPassedOn, bytes.len());
+            .record_message(MessageKind::DigestPassedOn, bytes.len());
         // A datagram that is not sent counts as lost; the next digest replaces it.
         let _ = socket.try_send_to(&bytes, neighbour);
     }
@@ -127,7 +129,7 @@
         memory_used: 0,
         memory_total: 0,
         unread_tokens: entry.unread_tokens,
-        pace: f64::from(entry.pace) / 1_000.0,
+        pace: f64::from(entry.slowdown_permille) / 1_000.0,
     }
 }
 
@@ -155,9 +157,11 @@
         let mut models = Vec::new();
         let chunk = chunk.unwrap_or_default();
         let start_times = chunk.iter().filter_map(|(engine, _)| engine.born());
-        let first_born = start_times.min().map_or(0, |born| born.0);
+        let first_start_millis = start_times.min().map_or(0, |start_time| start_time.0);
         let entries = chunk.iter().map(|(engine, report)| DigestEngine {
-            start_offset_millis: engine.born().map_or(0, |born| born.0 - first_born + 1),
+            start_offset_millis: engine
+                .born()
+                .map_or(0, |start_time| start_time.0 - first_start_millis + 1),
             ..digest_engine(engine, report, &mut models, now)
         });
         let engines = entries.collect();
@@ -173,7 +177,7 @@
             engines,
             gateways: gateways.unwrap_or_default().to_vec(),
             is_forwarded: false,
-            first_start_millis: first_born,
+            first_start_millis,
         }
     };
     (0..part_count).map(part).collect()
@@ -195,7 +199,7 @@
         queued: report.queued,
         active: report.active,
         unread_tokens: report.unread_tokens,
-        pace: (report.pace * 1_000.0) as u32,
+        slowdown_permille: (report.pace * 1_000.0) as u32,
         start_offset_millis: 0,
     }
 }
--- a/crates/gingerpier_weights/tests/relays.rs
+++ b/crates/gingerpier_weights/tests/relays.rs
@@ -131,7 +131,7 @@
         let route = Route::Leaf {
             relays: relays.clone(),
             zone: relay(0).zone,
-            rest: vec![Source::Holder(ReplicaKey(12))],
+            fallbacks: vec![Source::Holder(ReplicaKey(12))],
         };
         let mut sources = Vec::new();
         route.sources(chunk, &mut sources);
@@ -144,7 +144,7 @@
         let zone = [0, 6].map(|key| Source::Replica(ReplicaKey(key)));
         assert_eq!(own, zone, "relays 0 and 6 share the zone");
         assert_eq!(sources.len(), 2 + 5 + 1);
-        assert!(route.entries(CHUNK_COUNT).is_empty());
+        assert!(route.origin_chunks(CHUNK_COUNT).is_empty());
     }
     assert_eq!(
         first_relays.len(),
@@ -188,7 +188,7 @@
             prop_assert!(visited.insert(current), "cycle through process {current}");
             let is_known = |other: &u64| *other == current || views[current as usize] & (1 << *other) != 0;
             let known: Vec<u64> = (0..12).filter(is_known).collect();
-            let own = known.iter().position(|other| *other == current).expect("a process knows itself");
+            let own = known.iter().position(|other| *other == current).expect("own key");
             let relays = Relays::new(VERSION_HASH, known.iter().copied().map(relay).collect());
             match relay_sources(&relays, own as u32, chunk)[0] {
                 Source::Replica(next) => current = known[next.0 as usize],
@@ -215,9 +215,9 @@
             let deputy = sources.get(1).copied();
             let route = route(own, vec![ReplicaKey(20), ReplicaKey(21)]);
             route.sources(chunk, &mut sources);
-            let entries = route.entries(CHUNK_COUNT);
+            let origin_chunks = route.origin_chunks(CHUNK_COUNT);
             assert_eq!(
-                entries.contains(&chunk),
+                origin_chunks.contains(&chunk),
                 is_entry,
                 "chunk {chunk}, relay {own}"
             );
