--- a/crates/gingerpier_benches/benches/suspects.rs
+++ b/crates/gingerpier_benches/benches/suspects.rs
@@ -6,9 +6,9 @@
     gingerpier_base::Instant,
     gingerpier_benches::{bounds::Report, options::Options},
     gingerpier_serving::{
-        mark::{Mark, Subject},
+        fingerprint::{Fingerprint, Input},
         report::Version,
-        suspects::{End, Incarnation, Suspects},
+        suspects::{Crash, Incarnation, Suspects},
     },
     std::{hint::black_box, time},
 };
@@ -22,10 +22,10 @@
 /// Requests that ran at engines which ended, as many as are kept.
 const CASES: u64 = 1_024;
 
-fn mark(number: u64) -> Mark {
+fn mark(number: u64) -> Fingerprint {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&number.to_le_bytes());
-    Mark(bytes)
+    Fingerprint(bytes)
 }
 
 fn nanos(rounds: u64, mut work: impl FnMut(u64)) -> f64 {
@@ -36,8 +36,8 @@
     started.elapsed().as_nanos() as f64 / rounds as f64
 }
 
-fn hash(body: &[u8]) -> Mark {
-    Mark::of(&Subject {
+fn hash(body: &[u8]) -> Fingerprint {
+    Fingerprint::of(&Input {
         host: "h.example",
         target: b"/a/b/c",
         account: "t",
@@ -50,14 +50,14 @@
     let mut suspects = Suspects::default();
     for number in 0..CASES {
         let engine = number / 16;
-        let end = End {
-            mark: mark(number),
+        let end = Crash {
+            fingerprint: mark(number),
             account: (number % 64) as u32,
             engine: Incarnation(engine),
             version: Version(1),
             at: Instant::from_millis(engine * 100),
         };
-        suspects.note_end(end, 500);
+        suspects.record_crash(end, 500);
     }
     suspects
 }
@@ -75,13 +75,13 @@
     });
     let mut suspects = full();
     let finished_ns = nanos(ROUNDS, |round| {
-        suspects.note_finished(mark(1_000_000 + round), Version(1));
+        suspects.record_completion(mark(1_000_000 + round), Version(1));
     });
     let look_ns = nanos(ROUNDS, |round| {
-        black_box(suspects.standing(mark(1_000_000 + round)));
+        black_box(suspects.status(mark(1_000_000 + round)));
     });
     let judge_ns = nanos(100, |_| {
-        black_box(suspects.judge(Instant::from_millis(1_000_000)));
+        black_box(suspects.evaluate(Instant::from_millis(1_000_000)));
     });
     report.line(
         "",
--- a/crates/gingerpier_gateway/src/callers/answer.rs
+++ b/crates/gingerpier_gateway/src/callers/answer.rs
@@ -2,7 +2,7 @@
 
 use {
     gingerpier_http1::{head::Request, writer::Message},
-    gingerpier_serving::dialect::Names,
+    gingerpier_serving::platform_api::HeaderNames,
 };
 
 /// Why a request gets an error response from the gateway instead of an engine's response.
@@ -72,7 +72,12 @@
 }
 
 /// Encodes the response to `request`; `closes` announces that the connection closes after it.
-pub fn encode(error: ErrorResponse, request: &Request, names: &Names, closes: bool) -> Vec<u8> {
+pub fn encode(
+    error: ErrorResponse,
+    request: &Request,
+    names: &HeaderNames,
+    closes: bool,
+) -> Vec<u8> {
     let mut message = Message::response(error.status());
     if let Some(attempt_id) = request.fields.get(names.attempt) {
         message = message.field(names.attempt.as_bytes(), attempt_id);
--- a/crates/gingerpier_gateway/src/callers/attempt.rs
+++ b/crates/gingerpier_gateway/src/callers/attempt.rs
@@ -124,7 +124,7 @@
     engine: EngineKey,
     options: &AttemptOptions<'_>,
 ) -> Result<PendingResponse, AttemptError> {
-    let names = state.dialect.names();
+    let names = state.dialect.header_names();
     let (address, bytes) = {
         let fleet = state.fleet.borrow();
         let engine = fleet.engine(engine);
--- a/crates/gingerpier_gateway/src/callers/call.rs
+++ b/crates/gingerpier_gateway/src/callers/call.rs
@@ -13,9 +13,9 @@
         configuration::{
             Configuration, Route, RouteKey, Service, ServiceKey, ServiceKind, TenantKey,
         },
-        dialect::Names,
         engine::Engine,
-        mark::{Mark, Subject},
+        fingerprint::{Fingerprint, Input},
+        platform_api::HeaderNames,
         region::Homes,
         report::Version,
         returns::Visit,
@@ -58,7 +58,7 @@
     /// Whether the caller retries after a refusal.
     pub visit: Visit,
     /// Fingerprint that is equal for retries of the same request.
-    pub fingerprint: Mark,
+    pub fingerprint: Fingerprint,
 }
 
 impl<'a> RoutedRequest<'a> {
@@ -73,7 +73,7 @@
         body: &'a Bytes,
         received: Instant,
     ) -> Result<Self, ErrorResponse> {
-        let names = state.dialect.names();
+        let names = state.dialect.header_names();
         if state.is_closed.get() {
             return Err(ErrorResponse::ShuttingDown);
         }
@@ -106,7 +106,7 @@
             .unwrap_or_default();
         let band = state.record_prompt_size(&route_settings.name, prompt_tokens);
         let account = account_key.map(|key| configuration.tenant(key).name.clone());
-        let fingerprint = Mark::of(&Subject {
+        let fingerprint = Fingerprint::of(&Input {
             host,
             target: head.target(),
             account: account.as_deref().unwrap_or_default(),
@@ -158,12 +158,17 @@
     }
 
     /// Attempt id that the caller set.
-    pub fn attempt_id(&self, names: &Names) -> &str {
+    pub fn attempt_id(&self, names: &HeaderNames) -> &str {
         self.head.fields.text(names.attempt).unwrap_or_default()
     }
 
     /// Encodes the request for `engine`, with the gateway's own fields in place of the caller's.
-    pub fn encode(&self, names: &Names, engine: &Engine, options: &AttemptOptions<'_>) -> Vec<u8> {
+    pub fn encode(
+        &self,
+        names: &HeaderNames,
+        engine: &Engine,
+        options: &AttemptOptions<'_>,
+    ) -> Vec<u8> {
         let head = self.head;
         let mut message = Message::request(head.method(), head.target());
         for (name, value) in head.fields.iter() {
@@ -176,7 +181,7 @@
             .number(names.deadline, remaining_millis)
             .field(names.expect_engine.as_bytes(), engine.record.id.as_bytes());
         if let Some(account) = &self.account {
-            message = message.field(names.tenant.as_bytes(), account.as_bytes());
+            message = message.field(names.account.as_bytes(), account.as_bytes());
         }
         if options.required_version > Version::default() {
             message = message.number(names.expect_version, options.required_version.0);
@@ -226,12 +231,12 @@
 
 /// True for a field of the caller that doesn't go to the engine: a hop-by-hop field, or one that
 /// the gateway sets itself.
-fn is_withheld(name: &[u8], names: &Names, head: &Request) -> bool {
+fn is_withheld(name: &[u8], names: &HeaderNames, head: &Request) -> bool {
     let matches_name = |other: &str| name.eq_ignore_ascii_case(other.as_bytes());
     let gateway_fields = [
         names.deadline,
         names.key,
-        names.tenant,
+        names.account,
         names.expect_engine,
         names.expect_version,
         names.last_event,
--- a/crates/gingerpier_gateway/src/callers/ending.rs
+++ b/crates/gingerpier_gateway/src/callers/ending.rs
@@ -62,7 +62,7 @@
         let engine = fleet.engine(engine);
         if log::allows_request_line() {
             tracing::info!(
-                id = self.request.attempt_id(self.state.dialect.names()),
+                id = self.request.attempt_id(self.state.dialect.header_names()),
                 engine = engine.record.id,
                 cause = ?error.cause,
                 failure = ?error.failure,
@@ -127,7 +127,7 @@
             refusals.get_or_create(&RefusalLabels { reason }).inc();
         }
         self.log_ending(ending, progress);
-        let names = self.state.dialect.names();
+        let names = self.state.dialect.header_names();
         let bytes = answer::encode(error, self.request.head, names, self.closes_connection());
         match caller.write(&bytes).await {
             Ok(()) => Persistence::KeepAlive,
@@ -197,7 +197,7 @@
         let fleet = self.state.fleet.borrow();
         let engine = self.tried.last().map(|key| fleet.engine(*key));
         tracing::info!(
-            id = self.request.attempt_id(self.state.dialect.names()),
+            id = self.request.attempt_id(self.state.dialect.header_names()),
             outcome = ?ending,
             mark = %self.request.fingerprint,
             route = self.request.route_settings().name,
@@ -242,7 +242,7 @@
     head: &Request,
     error: ErrorResponse,
 ) -> Persistence {
-    let names = state.dialect.names();
+    let names = state.dialect.header_names();
     let ending = match error {
         ErrorResponse::NoConfiguration | ErrorResponse::ShuttingDown => Ending::Refused,
         _ => Ending::Denied,
--- a/crates/gingerpier_gateway/src/callers/forward.rs
+++ b/crates/gingerpier_gateway/src/callers/forward.rs
@@ -296,12 +296,12 @@
         progress: &mut Progress,
         in_flight: &mut InFlight,
     ) -> AttemptOutcome {
-        let names = self.state.dialect.names();
+        let names = self.state.dialect.header_names();
         let head = &response.head;
         let is_refused = head.status == 421 || head.fields.get(names.not_run).is_some();
         let is_success = (200..300).contains(&head.status);
         if is_success {
-            let is_sealed = head.fields.get(names.seal).is_some();
+            let is_sealed = head.fields.get(names.signature).is_some();
             if is_refused || !is_sealed || head.fields.get("content-encoding").is_some() {
                 return AttemptOutcome::Failed(attempt::invalid_response());
             }
@@ -373,7 +373,9 @@
 
     /// Records that the engine with this response head ran the request to its end.
     pub(super) fn record_completion(&self, head: &Response) {
-        let version = head.fields.number(self.state.dialect.names().version);
+        let version = head
+            .fields
+            .number(self.state.dialect.header_names().version);
         let version = Version(version.unwrap_or_default());
         self.state
             .record_completion(self.request.fingerprint, version);
--- a/crates/gingerpier_gateway/src/callers/stream.rs
+++ b/crates/gingerpier_gateway/src/callers/stream.rs
@@ -164,7 +164,7 @@
         mut decoder,
         is_request_sent,
     } = response;
-    let names = forwarder.state.dialect.names();
+    let names = forwarder.state.dialect.header_names();
     let version = Version(head.fields.number(names.version).unwrap_or_default());
     let mut output = Vec::new();
     if !progress.has_begun {
--- a/crates/gingerpier_gateway/src/callers/trial.rs
+++ b/crates/gingerpier_gateway/src/callers/trial.rs
@@ -13,8 +13,8 @@
     gingerpier_http1::connection::Connection,
     gingerpier_serving::{
         fleet::{self, EngineKey},
-        suspects::{End, Incarnation, Standing},
-        trials::{SETTLE_MILLIS, Trial},
+        suspects::{Crash, Incarnation, Status},
+        trials::{CONFLICT_WINDOW_MILLIS, Trial},
     },
     std::{collections::HashSet, rc::Rc},
 };
@@ -41,7 +41,7 @@
             .suspect_state
             .trials
             .borrow_mut()
-            .note_begun(trial, clock::now());
+            .record_start(trial, clock::now());
         state.announce_trial(&trial, false);
         Self {
             state: state.clone(),
@@ -52,18 +52,22 @@
     /// True if this trial wins over concurrent ones of other gateways.
     fn has_precedence(&self) -> bool {
         let trials = self.state.suspect_state.trials.borrow();
-        trials.goes_on(&self.trial, clock::now())
+        trials.may_continue(&self.trial, clock::now())
     }
 }
 
 impl Drop for TrialGuard {
     fn drop(&mut self) {
-        let Trial { mark, by, .. } = self.trial;
+        let Trial {
+            fingerprint: mark,
+            gateway: by,
+            ..
+        } = self.trial;
         self.state
             .suspect_state
             .trials
             .borrow_mut()
-            .note_over(mark, by);
+            .record_end(mark, by);
         self.state.announce_trial(&self.trial, true);
     }
 }
@@ -92,12 +96,12 @@
         let wait_millis = self.request.route_settings().target_millis / WAIT_DIVISOR;
         let wait_deadline = clock::now().after_millis(wait_millis);
         loop {
-            let status = state.suspect_state.suspects.borrow().standing(fingerprint);
-            self.is_trial = status == Standing::Suspect;
+            let status = state.suspect_state.suspects.borrow().status(fingerprint);
+            self.is_trial = status == Status::Suspect;
             match status {
-                Standing::Clear => return Access::Unrestricted,
-                Standing::Held => return Access::Held,
-                Standing::Noted | Standing::Suspect => {}
+                Status::Clear => return Access::Unrestricted,
+                Status::Held => return Access::Held,
+                Status::ReportOutcome | Status::Suspect => {}
             }
             let now = clock::now();
             let is_on_trial = state
@@ -130,10 +134,9 @@
             tokio::select! {
                 biased;
                 () = disconnected(caller) => return Access::Disconnected,
-                () = clock::pause(SETTLE_MILLIS) => {}
+                () = clock::pause(CONFLICT_WINDOW_MILLIS) => {}
             }
-            let is_unchanged =
-                state.suspect_state.suspects.borrow().standing(fingerprint) == status;
+            let is_unchanged = state.suspect_state.suspects.borrow().status(fingerprint) == status;
             if is_unchanged && trial.has_precedence() {
                 return Access::Trial(engine, trial);
             }
@@ -144,8 +147,8 @@
         let fleet = self.state.fleet.borrow();
         let engine = fleet.engine(engine);
         Trial {
-            by: self.state.settings.peers,
-            mark: self.request.fingerprint,
+            gateway: self.state.settings.peers,
+            fingerprint: self.request.fingerprint,
             engine: is_exclusive.then(|| Incarnation::of(&engine.record, engine.born())),
         }
     }
@@ -193,8 +196,8 @@
             let now = clock::now();
             let model = self.request.model.as_deref();
             let loaded = model.and_then(|model| engine.version_of(model, now));
-            let crash = End {
-                mark: self.request.fingerprint,
+            let crash = Crash {
+                fingerprint: self.request.fingerprint,
                 account: suspects::account_hash(self.request.account.as_deref()),
                 engine: Incarnation::of(&engine.record, engine.born()),
                 version: loaded.unwrap_or_default().max(progress.version()),
@@ -215,7 +218,7 @@
 }
 
 /// Repeats the crash check after delays, and records a crash that shows only then.
-async fn recheck_for_crash(state: &State, key: EngineKey, crash: End) {
+async fn recheck_for_crash(state: &State, key: EngineKey, crash: Crash) {
     for millis in RECHECK_DELAYS_MILLIS {
         clock::pause(millis).await;
         let (address, has_restarted) = {
--- a/crates/gingerpier_gateway/src/client.rs
+++ b/crates/gingerpier_gateway/src/client.rs
@@ -18,7 +18,7 @@
         head::Response,
         writer::Message,
     },
-    gingerpier_serving::dialect::Call,
+    gingerpier_serving::platform_api::ApiRequest,
     std::{cell::Cell, net::SocketAddr, rc::Rc},
 };
 
@@ -47,7 +47,7 @@
     /// Set to the time at which data of a successful response last arrived.
     last_received: Option<Rc<Cell<Option<Instant>>>>,
     /// Request that tells a dead connection from a slow path.
-    probe: Option<Call>,
+    probe: Option<ApiRequest>,
 }
 
 impl Client {
@@ -78,7 +78,7 @@
     }
 
     /// Adds a `probe` request that tells a dead connection from a slow path.
-    pub fn with_probe(mut self, probe: Call) -> Self {
+    pub fn with_probe(mut self, probe: ApiRequest) -> Self {
         self.probe = Some(probe);
         self
     }
@@ -95,7 +95,7 @@
     ///
     /// If the server can't be reached or doesn't respond in time. The next call opens a new
     /// connection.
-    pub async fn call(&mut self, call: &Call, millis: u64) -> Result<Whole, Error> {
+    pub async fn call(&mut self, call: &ApiRequest, millis: u64) -> Result<Whole, Error> {
         let (peer, probe) = (self.peer, self.probe.clone());
         let sent_at = clock::now();
         let last = Cell::new(None);
@@ -136,7 +136,7 @@
     /// Sends a call and reads its response; sets `last` whenever data arrives.
     async fn exchange(
         &mut self,
-        call: &Call,
+        call: &ApiRequest,
         last: &Cell<Option<Instant>>,
     ) -> Result<Whole, Error> {
         let peer = self.peer;
@@ -190,7 +190,7 @@
 }
 
 /// True if `peer` responds to a probe on a new connection; false once the next probe may be sent.
-async fn responds_to_probe(peer: SocketAddr, probe: &Call) -> bool {
+async fn responds_to_probe(peer: SocketAddr, probe: &ApiRequest) -> bool {
     let sent_at = clock::now();
     let deadline = sent_at.after_millis(PROBE_TIMEOUT_MILLIS);
     let result = clock::before(deadline, send_request(peer, None, encode(probe, peer))).await;
@@ -202,7 +202,7 @@
 }
 
 /// Encodes a call as an HTTP request.
-pub fn encode(call: &Call, host: SocketAddr) -> Vec<u8> {
+pub fn encode(call: &ApiRequest, host: SocketAddr) -> Vec<u8> {
     let message = Message::request(call.method.as_bytes(), call.target.as_bytes())
         .field(b"host", host.to_string().as_bytes());
     if call.body.is_empty() {
@@ -214,7 +214,7 @@
 }
 
 /// Encodes a call without a body whose response may be compressed.
-fn encode_accepting_compression(call: &Call, host: SocketAddr) -> Vec<u8> {
+fn encode_accepting_compression(call: &ApiRequest, host: SocketAddr) -> Vec<u8> {
     Message::request(call.method.as_bytes(), call.target.as_bytes())
         .field(b"host", host.to_string().as_bytes())
         .field(b"accept-encoding", compression::ENCODING.as_bytes())
--- a/crates/gingerpier_gateway/src/discovery.rs
+++ b/crates/gingerpier_gateway/src/discovery.rs
@@ -11,7 +11,7 @@
         state::State,
         store,
     },
-    gingerpier_serving::dialect::{Fact, Scope},
+    gingerpier_serving::platform_api::{Content, Scope},
     std::{net::SocketAddr, rc::Rc},
     tokio::net::UdpSocket,
 };
@@ -55,12 +55,12 @@
     let mut zones = state.zones.borrow_mut();
     let own = (state.settings.zone.as_str(), state.settings.peers);
     let known = zones
-        .living(now)
+        .alive(now)
         .filter(|gateway| *gateway != own)
         .chain([own]);
     let listed = select_gateways(known, &member, from);
     if let Ok(address) = member.address.parse() {
-        zones.note_member(&member.zone, address, now);
+        zones.record_member(&member.zone, address, now);
     }
     drop(zones);
     let reply = message::encode(&Datagram::GatewayList(GatewayList {
@@ -100,7 +100,7 @@
             Ok(copy) => {
                 let records = copy.items.iter().filter_map(|item| state.items.parse(item));
                 let loaders = records.filter_map(|fact| match fact {
-                    Fact::Engine(record) if record.zone == state.settings.zone => {
+                    Content::Engine(record) if record.zone == state.settings.zone => {
                         Some(record.address.ip())
                     }
                     _ => None,
--- a/crates/gingerpier_gateway/src/error.rs
+++ b/crates/gingerpier_gateway/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of startup and of exchanges with peers.
 
-use {displaydoc::Display, gingerpier_serving::dialect, std::net::SocketAddr};
+use {displaydoc::Display, gingerpier_serving::platform_api, std::net::SocketAddr};
 
 /// Operation that failed.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq)]
@@ -51,7 +51,7 @@
         /// Peer.
         peer: SocketAddr,
         /// Cause.
-        what: dialect::Error,
+        what: platform_api::Error,
     },
     /// can't {step} at {peer}: timed out
     Late {
--- a/crates/gingerpier_gateway/src/figures.rs
+++ b/crates/gingerpier_gateway/src/figures.rs
@@ -19,10 +19,10 @@
     gingerpier_http1::writer::Message,
     gingerpier_serving::{
         configuration::{EngineModel, Origin, Service, ServiceKind, Services},
-        dialect::{self, Call},
         engine::Engine,
         fleet::{Fleet, Record, State as EngineState},
         mirror::Revision,
+        platform_api::{self, ApiRequest},
         report::Report,
     },
     std::{net::SocketAddr, rc::Rc},
@@ -86,7 +86,7 @@
 /// message.
 pub async fn ask(gateway: SocketAddr) -> Result<LoaderConfiguration, Error> {
     let mut client = Client::new(gateway);
-    let request = Call::get(PATH.to_owned());
+    let request = ApiRequest::get(PATH.to_owned());
     let response = client.call(&request, RESPONSE_TIMEOUT_MILLIS).await?;
     let invalid = |what| Error::Answer {
         step: Step::Read,
@@ -94,11 +94,11 @@
         what,
     };
     if response.head.status != 200 {
-        return Err(invalid(dialect::Error::Status(response.head.status)));
+        return Err(invalid(platform_api::Error::Status(response.head.status)));
     }
     let figures: Option<ConfigurationPart> = message::decode(&response.body);
     let figures = figures.ok_or_else(|| {
-        invalid(dialect::Error::Malformed {
+        invalid(platform_api::Error::Malformed {
             place: "figures".to_owned(),
             what: "not understood".to_owned(),
         })
--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -11,7 +11,7 @@
         zones,
     },
     gingerpier_http1::{connection::Connection, writer::Message},
-    gingerpier_serving::dialect::Dialect,
+    gingerpier_serving::platform_api::PlatformApi,
     gingerpier_settings::Gateway as Settings,
     std::{net::SocketAddr, rc::Rc},
     tokio::{
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// Fails if a listener or a signal handler can't be set up.
-pub async fn run(settings: Settings, dialect: &'static dyn Dialect) -> Result<(), Error> {
+pub async fn run(settings: Settings, dialect: &'static dyn PlatformApi) -> Result<(), Error> {
     let log_buffer = log::start();
     let caller_listener = listen(Step::ListenCallers, settings.callers).await?;
     let readiness_listener = listen(Step::ListenReadiness, settings.readiness).await?;
@@ -174,7 +174,7 @@
     let mut connection = Connection::new(stream);
     while let Some(request) = store_sharing::read_head(&mut connection).await {
         let target = std::str::from_utf8(request.target()).unwrap_or_default();
-        let status = match (state.dialect.asks_ready(target), state.is_ready()) {
+        let status = match (state.dialect.is_readiness_check(target), state.is_ready()) {
             (true, true) => 200,
             (true, false) => 503,
             (false, _) => 404,
--- a/crates/gingerpier_gateway/src/items.rs
+++ b/crates/gingerpier_gateway/src/items.rs
@@ -2,8 +2,8 @@
 
 use {
     gingerpier_serving::{
-        dialect::{Dialect, Error, Fact, Omission, Subject},
         mirror::Item,
+        platform_api::{Content, Error, ItemKind, Omission, PlatformApi},
     },
     std::{
         cell::{Cell, RefCell},
@@ -23,17 +23,17 @@
 
 /// Clears the value of an item that no process uses, so that foreign or invalid entries take no
 /// memory.
-pub fn strip_unused_value(dialect: &dyn Dialect, item: Item) -> Item {
+pub fn strip_unused_value(dialect: &dyn PlatformApi, item: Item) -> Item {
     let Some(value) = &item.value else {
         return item;
     };
-    let is_used = match dialect.subject(&item.key) {
-        Subject::Configuration | Subject::Weights(_) | Subject::Evacuation(_) => true,
-        Subject::Engine(_) => {
+    let is_used = match dialect.item_kind(&item.key) {
+        ItemKind::Configuration | ItemKind::Weights(_) | ItemKind::Evacuation(_) => true,
+        ItemKind::Engine(_) => {
             let is_short = value.len() <= MAX_ENTRY_BYTES;
-            is_short && dialect.fact(&item.key, value).is_ok()
+            is_short && dialect.parse_item(&item.key, value).is_ok()
         }
-        Subject::Other => false,
+        ItemKind::Other => false,
     };
     match is_used {
         true => item,
@@ -46,7 +46,7 @@
 
 /// Parses store items and logs each omission once.
 pub struct Parser {
-    dialect: &'static dyn Dialect,
+    dialect: &'static dyn PlatformApi,
     logged_omissions: RefCell<BTreeSet<Omission>>,
     /// Keys and revisions of invalid items that were logged.
     logged_invalid: RefCell<BTreeSet<(String, u64)>>,
@@ -55,7 +55,7 @@
 
 impl Parser {
     /// Parser that uses the platform protocol `dialect`.
-    pub const fn new(dialect: &'static dyn Dialect) -> Self {
+    pub const fn new(dialect: &'static dyn PlatformApi) -> Self {
         Self {
             dialect,
             logged_omissions: RefCell::new(BTreeSet::new()),
@@ -70,15 +70,15 @@
     }
 
     /// Content of `item`; none if it is deleted or invalid. Logs invalid items and missing fields.
-    pub fn parse(&self, item: &Item) -> Option<Fact> {
+    pub fn parse(&self, item: &Item) -> Option<Content> {
         let value = item.value.as_ref()?;
         let revision = item.revision.0;
-        match self.dialect.fact(&item.key, value) {
+        match self.dialect.parse_item(&item.key, value) {
             Ok(parsed) => {
                 for omission in parsed.omissions {
                     self.log_omission(&item.key, revision, omission);
                 }
-                Some(parsed.fact)
+                Some(parsed.content)
             }
             Err(error) => {
                 self.record_invalid(&item.key, revision, &error);
@@ -93,7 +93,7 @@
             return;
         }
         self.invalid_count.set(self.invalid_count.get() + 1);
-        let is_engine_entry = matches!(self.dialect.subject(key), Subject::Engine(_));
+        let is_engine_entry = matches!(self.dialect.item_kind(key), ItemKind::Engine(_));
         if logged_invalid.len() < MAX_LOGGED_INVALID || !is_engine_entry {
             if logged_invalid.len() < MAX_LOGGED_INVALID {
                 logged_invalid.insert((key.to_owned(), revision));
--- a/crates/gingerpier_gateway/src/lib.rs
+++ b/crates/gingerpier_gateway/src/lib.rs
@@ -3,12 +3,12 @@
 //! A gateway is a reverse proxy: it routes callers' requests to engines, by the decisions of
 //! `gingerpier_serving`. A loader runs beside one engine: it fetches and verifies released weights,
 //! orders the engine to load them, and reports the engine's load to gateways. Both access the
-//! deployment platform through a [`gingerpier_serving::dialect::Dialect`], and each runs on one
+//! deployment platform through a [`gingerpier_serving::platform_api::PlatformApi`], and each runs on one
 //! thread.
 //!
 //! ```no_run
-//! # use gingerpier_serving::dialect::Dialect;
-//! # fn example(dialect: &'static dyn Dialect) -> Result<(), Box<dyn std::error::Error>> {
+//! # use gingerpier_serving::platform_api::PlatformApi;
+//! # fn example(dialect: &'static dyn PlatformApi) -> Result<(), Box<dyn std::error::Error>> {
 //! let text = std::fs::read_to_string("gateway.yaml")?;
 //! let gingerpier_settings::Settings::Gateway(settings) = gingerpier_settings::read(&text)? else {
 //!     panic!("not a gateway's settings")
--- a/crates/gingerpier_gateway/src/loader/activation.rs
+++ b/crates/gingerpier_gateway/src/loader/activation.rs
@@ -6,8 +6,8 @@
     crate::{client::Client, clock, weights::cache},
     gingerpier_base::Instant,
     gingerpier_serving::{
-        bringing,
-        dialect::{Named, Started},
+        platform_api::{ModelVersion, StartOutcome},
+        update_schedule,
     },
 };
 
@@ -32,10 +32,10 @@
 
 impl<'l> Announcement<'l> {
     /// Announces the order and waits until requests queued at the engine have started.
-    pub async fn send(loader: &'l Loader, model_version: &Named) -> Self {
+    pub async fn send(loader: &'l Loader, model_version: &ModelVersion) -> Self {
         loader.set_order_pending(true);
-        let notice = bringing::notice(loader.validity(&model_version.model), clock::now());
-        clock::until(notice.quiet_until).await;
+        let notice = update_schedule::notice(loader.validity(&model_version.model), clock::now());
+        clock::until(notice.unchanged_until).await;
         Self {
             loader,
             order_at: notice.order_at,
@@ -50,7 +50,7 @@
 }
 
 /// Stages all chunks at the engine and reads each back; true if all of them match the manifest.
-pub async fn stage_chunks(loader: &Loader, model_version: &Named) -> bool {
+pub async fn stage_chunks(loader: &Loader, model_version: &ModelVersion) -> bool {
     let mut client = Client::new(loader.settings.engine);
     let chunk_set = {
         let chunk_cache = loader.distributor.chunk_cache.borrow();
@@ -71,7 +71,7 @@
         let mut is_verified = false;
         for _ in 0..MAX_STAGE_ATTEMPTS {
             if !must_stage {
-                let read_call = loader.dialect.laid_chunk(&model_version.model, chunk);
+                let read_call = loader.dialect.staged_chunk(&model_version.model, chunk);
                 let Ok(response) = client.call(&read_call, ENGINE_TIMEOUT_MILLIS).await else {
                     return false;
                 };
@@ -82,7 +82,7 @@
                     break;
                 }
             }
-            let mut call = loader.dialect.lay_chunk(&model_version.model, chunk);
+            let mut call = loader.dialect.stage_chunk(&model_version.model, chunk);
             call.body = bytes.to_vec();
             staged_count += 1;
             if client.call(&call, ENGINE_TIMEOUT_MILLIS).await.is_err() {
@@ -118,7 +118,7 @@
 /// Orders the engine to load the staged weights.
 pub async fn order_start(
     loader: &Loader,
-    model_version: &Named,
+    model_version: &ModelVersion,
     announcement: &Announcement<'_>,
 ) -> OrderOutcome {
     clock::until(announcement.order_at).await;
@@ -131,7 +131,7 @@
     let mut client = Client::new(loader.settings.engine);
     let result = client.call(&call, ENGINE_TIMEOUT_MILLIS).await;
     let outcome = match &result {
-        Ok(response) => Some(loader.dialect.read_start(response.head.status)),
+        Ok(response) => Some(loader.dialect.parse_start(response.head.status)),
         // The order may have been accepted; the engine's next reports show it.
         Err(_) => None,
     };
@@ -143,7 +143,7 @@
     );
     clock::pause(REPORT_DELAY_MILLIS).await;
     loader.set_order_pending(false);
-    if outcome == Some(Started::Refused) {
+    if outcome == Some(StartOutcome::Refused) {
         return OrderOutcome::NotAccepted;
     }
     while !loader.is_engine_idle() && loader.report.borrow().is_some() {
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -18,16 +18,16 @@
     },
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
-        asking::{Heard, Knowledge},
         backlog::Backlog,
-        bringing::NamedAt,
         configuration::{Origin, Services},
-        dialect::Dialect,
         fleet::Fleet,
+        loader_polling::{Knowledge, View},
         mirror::Revision,
-        naming::Namings,
+        platform_api::PlatformApi,
+        release::Releases,
         report::Report,
-        unnamed::Patience,
+        unreleased::OriginFallback,
+        update_schedule::ReleaseTime,
     },
     gingerpier_settings::Loader as Settings,
     std::{
@@ -85,7 +85,7 @@
     /// Addresses of the seed gateways for loaders.
     seeds: Vec<SocketAddr>,
     /// Platform protocol.
-    pub dialect: &'static dyn Dialect,
+    pub dialect: &'static dyn PlatformApi,
     /// Parser of store items.
     pub items: Parser,
     /// Chunk cache and transfers.
@@ -106,16 +106,16 @@
     revision: Cell<Revision>,
     fleet: RefCell<Fleet>,
     services: RefCell<Option<Services>>,
-    releases: RefCell<HashMap<String, Namings>>,
+    releases: RefCell<HashMap<String, Releases>>,
     /// Versions whose chunks are all cached, and since when.
-    complete_versions: RefCell<Vec<NamedAt>>,
+    complete_versions: RefCell<Vec<ReleaseTime>>,
     /// Decides when to fetch from the origin without a known version.
-    origin_fallback: RefCell<Patience>,
+    origin_fallback: RefCell<OriginFallback>,
 }
 
 impl Loader {
     /// Creates a loader without any data.
-    pub fn new(settings: Settings, dialect: &'static dyn Dialect) -> Self {
+    pub fn new(settings: Settings, dialect: &'static dyn PlatformApi) -> Self {
         let link = settings.link_bits_per_second;
         let distributor = Rc::new(Distributor::for_engine(dialect, settings.engine, link));
         Self {
@@ -283,11 +283,11 @@
     }
 
     /// Gateways known to this loader; `informed_gateways` may be polled.
-    pub fn view<'t>(&'t self, informed_gateways: &'t [SocketAddr]) -> Heard<'t> {
-        Heard {
+    pub fn view<'t>(&'t self, informed_gateways: &'t [SocketAddr]) -> View<'t> {
+        View {
             gateways: informed_gateways,
             seeds: &self.seeds,
-            near_count: self.near_gateway_count(),
+            zone_gateway_count: self.near_gateway_count(),
             knowledge: self.knowledge(),
         }
     }
@@ -325,7 +325,7 @@
 /// # Errors
 ///
 /// If a socket can't be bound or a signal handler can't be installed.
-pub async fn run(settings: Settings, dialect: &'static dyn Dialect) -> Result<(), Error> {
+pub async fn run(settings: Settings, dialect: &'static dyn PlatformApi) -> Result<(), Error> {
     let lines = log::start();
     let peer = settings.peers;
     let bind_error = |step| move |what| Error::Io { step, peer, what };
--- a/crates/gingerpier_gateway/src/loader/report.rs
+++ b/crates/gingerpier_gateway/src/loader/report.rs
@@ -8,7 +8,7 @@
         message::{self, Datagram, GatewayList, Load, Member, Subscribe},
     },
     gingerpier_base::order,
-    gingerpier_serving::{dialect::Named, naming::Teller, report::Report},
+    gingerpier_serving::{platform_api::ModelVersion, release::Reporter, report::Report},
     std::{collections::BTreeMap, net::SocketAddr, rc::Rc},
     tokio::net::UdpSocket,
 };
@@ -62,7 +62,7 @@
 
 fn record_subscription(loader: &Loader, from: SocketAddr, subscribe: Subscribe) {
     for release in subscribe.named {
-        loader.record_peer_release(release, Teller(order::hash(&from)));
+        loader.record_peer_release(release, Reporter(order::hash(&from)));
     }
     let mut subscribers = loader.subscribers.borrow_mut();
     let previous = subscribers.get(&from);
@@ -117,7 +117,7 @@
     let response = client.call(&call, ENGINE_TIMEOUT_MILLIS).await.ok()?;
     match loader
         .dialect
-        .read_report(response.head.status, &response.body)
+        .parse_report(response.head.status, &response.body)
     {
         Ok(mut report) => {
             reset_after_restart(loader, &report);
@@ -160,7 +160,7 @@
     drop(last);
     let served = loader.model().and_then(|model| {
         let version = loader.loaded_version(&model)?;
-        Some(Named { model, version })
+        Some(ModelVersion { model, version })
     });
     *loader.distributor.served.borrow_mut() = served;
     is_new
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -6,11 +6,11 @@
     crate::{client::Client, clock, error::Error, figures, store},
     gingerpier_base::order,
     gingerpier_serving::{
-        asking::{Asking, Knowledge, Source, Step},
-        dialect::{Fact, Scope, Watched},
         fleet::Fleet,
+        loader_polling::{Knowledge, Poller, Source, Step},
         mirror::{Item, Revision},
-        naming::{OWN, Teller},
+        platform_api::{Content, Scope, WatchResponse},
+        release::{LOCAL, Reporter},
     },
     std::{net::SocketAddr, rc::Rc},
 };
@@ -34,7 +34,7 @@
 /// releases only if few gateways report them, as each watch costs a store call.
 pub async fn run(loader: Rc<Loader>) {
     let settings = &loader.settings;
-    let mut asking = Asking::new(settings.peers, settings.regions.len(), clock::now());
+    let mut asking = Poller::new(settings.peers, settings.regions.len(), clock::now());
     let mut client = store::client(settings.store, loader.dialect);
     let mut is_current = false;
     loop {
@@ -79,9 +79,9 @@
     }
 }
 
-fn next_step(loader: &Loader, asking: &mut Asking) -> Step {
+fn next_step(loader: &Loader, asking: &mut Poller) -> Step {
     let gateways = loader.informed_gateways();
-    asking.next(&loader.view(&gateways), clock::now())
+    asking.next_step(&loader.view(&gateways), clock::now())
 }
 
 /// Scope of the store watch. Without any gateway it includes configurations; the next gateway
@@ -102,7 +102,7 @@
 
 /// Returns once another step is due or the watch covers configurations needlessly, as all loaders
 /// would read the next one at once.
-async fn wait_for_other_step(loader: &Loader, asking: &mut Asking, scope: Scope) {
+async fn wait_for_other_step(loader: &Loader, asking: &mut Poller, scope: Scope) {
     loop {
         let is_due = matches!(next_step(loader, asking), Step::Gateway(_) | Step::Store);
         let is_too_wide = scope == Scope::Operators && self::watch_scope(loader) == Scope::Weights;
@@ -115,10 +115,10 @@
 
 /// Records the result of a configuration poll; data older than that of gateways counts as a
 /// failure.
-fn record_result(loader: &Loader, asking: &mut Asking, source: Source, result: Result<(), Error>) {
+fn record_result(loader: &Loader, asking: &mut Poller, source: Source, result: Result<(), Error>) {
     let knowledge = loader.knowledge();
     match &result {
-        Ok(()) if knowledge == Knowledge::Enough => return asking.note_answer(source),
+        Ok(()) if knowledge == Knowledge::Enough => return asking.record_response(source),
         Ok(()) => tracing::warn!(
             ?source,
             ?knowledge,
@@ -126,16 +126,16 @@
         ),
         Err(error) => tracing::warn!(?source, cause = %error, "service configuration not received"),
     }
-    asking.note_failure(source, clock::now(), fastrand::u64(..));
+    asking.record_failure(source, clock::now(), fastrand::u64(..));
 }
 
 /// Records the result of a store read or watch for releases.
-fn record_store_result(asking: &mut Asking, result: Result<(), Error>) {
+fn record_store_result(asking: &mut Poller, result: Result<(), Error>) {
     match result {
-        Ok(()) => asking.note_answer(Source::Weights),
+        Ok(()) => asking.record_response(Source::Weights),
         Err(error) => {
             tracing::warn!(cause = %error, "store does not answer");
-            asking.note_failure(Source::Weights, clock::now(), fastrand::u64(..));
+            asking.record_failure(Source::Weights, clock::now(), fastrand::u64(..));
         }
     }
 }
@@ -144,7 +144,7 @@
     let response = figures::ask(gateway).await?;
     loader.update_services(response.services);
     // Kept apart from the gateway's subscriptions, which report more precise ages.
-    let source = Teller(!order::hash(&gateway));
+    let source = Reporter(!order::hash(&gateway));
     for release in response.named {
         loader.record_peer_release(release, source);
     }
@@ -177,7 +177,7 @@
 }
 
 fn list_engine(loader: &Loader, fleet: &mut Fleet, item: &Item) {
-    if let Some(Fact::Engine(record)) = loader.items.parse(item) {
+    if let Some(Content::Engine(record)) = loader.items.parse(item) {
         fleet.list(*record, item.revision);
     }
 }
@@ -192,9 +192,9 @@
 async fn watch_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<bool, Error> {
     let after = loader.revision.get();
     match store::watch(client, loader.dialect, scope, after, WATCH_TIMEOUT_MILLIS).await? {
-        Watched::HistoryGone => Ok(false),
-        Watched::Changes(page) => {
-            apply_items(loader, &page.items, page.at);
+        WatchResponse::Compacted => Ok(false),
+        WatchResponse::Changes(page) => {
+            apply_items(loader, &page.items, page.revision);
             Ok(true)
         }
     }
@@ -203,12 +203,14 @@
 fn apply_items(loader: &Loader, items: &[Item], at: Revision) {
     for item in items {
         match loader.items.parse(item) {
-            Some(Fact::Configuration(configuration)) => {
+            Some(Content::Configuration(configuration)) => {
                 loader.update_services(configuration.services_part().for_loaders());
             }
             // Gateways report when the release deadline began; without gateways no requests start.
-            Some(Fact::Weights(model_version)) => loader.record_release(&model_version, OWN, 0),
-            Some(Fact::Engine(_) | Fact::Evacuation(_) | Fact::Other) | None => {}
+            Some(Content::Weights(model_version)) => {
+                loader.record_release(&model_version, LOCAL, 0)
+            }
+            Some(Content::Engine(_) | Content::Evacuation(_) | Content::Other) | None => {}
         }
     }
     loader.revision.set(loader.revision.get().max(at));
--- a/crates/gingerpier_gateway/src/loader/update.rs
+++ b/crates/gingerpier_gateway/src/loader/update.rs
@@ -12,9 +12,9 @@
     },
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
-        bringing::{self, Place, Terms},
-        dialect::Named,
+        platform_api::ModelVersion,
         report::Version,
+        update_schedule::{self, Bound, Position},
     },
     gingerpier_weights::{
         Holders, Route,
@@ -82,7 +82,7 @@
 
 /// A running update of the engine to a version.
 struct Update {
-    model_version: Named,
+    model_version: ModelVersion,
     task: actix_rt::task::JoinHandle<()>,
 }
 
@@ -158,7 +158,7 @@
 }
 
 /// True if the engine lacks `target` and no update to it is running.
-fn is_missing(loader: &Loader, updates: &[Update], target: &Named) -> bool {
+fn is_missing(loader: &Loader, updates: &[Update], target: &ModelVersion) -> bool {
     let loaded = loader.loaded_version(&target.model);
     let is_loaded = loaded.is_some_and(|loaded| loaded >= target.version);
     !is_loaded && updates.iter().all(|update| update.model_version != *target)
@@ -183,11 +183,11 @@
     }
 }
 
-fn terms(loader: &Loader) -> Terms {
+fn terms(loader: &Loader) -> Bound {
     weights::terms(loader.settings.version_within.0)
 }
 
-async fn fetch_and_activate(loader: Rc<Loader>, target: Named) {
+async fn fetch_and_activate(loader: Rc<Loader>, target: ModelVersion) {
     let model_version = fetch::fetch(&loader.distributor, || fetch_spec(&loader, &target)).await;
     loader.mark_complete(model_version.version);
     let mut failures = 0;
@@ -231,7 +231,7 @@
 }
 
 /// Fetches from gateways, or through trees of loaders if no gateway is known.
-fn fetch_spec(loader: &Loader, model_version: &Named) -> FetchSpec {
+fn fetch_spec(loader: &Loader, model_version: &ModelVersion) -> FetchSpec {
     let port = loader.settings.peers.port();
     let peers = loader.peers();
     let loaders = peers.iter().map(|peer| SocketAddr::new(peer.ip, port));
@@ -286,13 +286,17 @@
 }
 
 /// Loaders whose engines serve `model_version`.
-fn serving_loaders(loader: &Loader, peers: &[super::Peer], model_version: &Named) -> Holders {
+fn serving_loaders(
+    loader: &Loader,
+    peers: &[super::Peer],
+    model_version: &ModelVersion,
+) -> Holders {
     let serving = loader.machines_serving(model_version);
     let keys = (1..peers.len()).filter(|key| serving.contains(&peers[*key].ip));
     Holders(keys.map(|key| ReplicaKey(key as u32)).collect())
 }
 
-fn tree_plan(loader: &Loader, peers: &[super::Peer], model_version: &Named) -> Plan {
+fn tree_plan(loader: &Loader, peers: &[super::Peer], model_version: &ModelVersion) -> Plan {
     let replicas: Vec<Replica> = peers
         .iter()
         .map(|peer| Replica {
@@ -305,7 +309,7 @@
 }
 
 /// Time of the first origin request for a recent release.
-fn coordinated_start(loader: &Loader, model_version: &Named) -> Option<Instant> {
+fn coordinated_start(loader: &Loader, model_version: &ModelVersion) -> Option<Instant> {
     let first_known = loader.first_known_at(model_version)?;
     let first_request = first_known.after_millis(MANIFEST_DELAY_MILLIS);
     (clock::now().millis_since(first_known) < MANIFEST_DELAY_MILLIS).then_some(first_request)
@@ -313,11 +317,11 @@
 
 /// True once the engine may be ordered to load `model_version`. While it carries out another order,
 /// its next version is unknown.
-fn is_order_allowed(loader: &Loader, model_version: &Named) -> bool {
+fn is_order_allowed(loader: &Loader, model_version: &ModelVersion) -> bool {
     let loaded = loader.loaded_version(&model_version.model);
     let releases = loader.release_times(&model_version.model);
     let complete_at = loader.complete_since(loaded);
-    let order_at = bringing::order_at(
+    let order_at = update_schedule::order_at(
         loaded,
         &releases,
         complete_at,
@@ -327,15 +331,15 @@
     loader.is_engine_idle() && order_at.has_passed(clock::now())
 }
 
-async fn wait_until_order_allowed(loader: &Loader, model_version: &Named) {
+async fn wait_until_order_allowed(loader: &Loader, model_version: &ModelVersion) {
     while !is_order_allowed(loader, model_version) {
         clock::pause(POLL_INTERVAL_MILLIS).await;
     }
 }
 
-fn own_position(loader: &Loader) -> Place {
+fn own_position(loader: &Loader) -> Position {
     let peers = loader.peers();
     let members: Vec<u64> = peers.iter().map(super::Peer::identity).collect();
     // This process comes first in its list of peers.
-    bringing::place(peers[0].identity(), &members)
+    update_schedule::position(peers[0].identity(), &members)
 }
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -5,12 +5,12 @@
     crate::{clock, message},
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
-        bringing::{NamedAt, Tenure},
-        dialect::Named,
         engine::Engine,
-        naming::{Naming, Namings, Teller},
+        platform_api::ModelVersion,
+        release::{Release, Releases, Reporter},
         report::Version,
-        unnamed::Known,
+        unreleased::Known,
+        update_schedule::{ReleaseTime, Validity},
     },
     std::{collections::BTreeSet, net::IpAddr},
 };
@@ -18,12 +18,12 @@
 impl Loader {
     /// Records a release made at most `age` milliseconds ago, as reported by
     /// `source`.
-    pub fn record_release(&self, model_version: &Named, source: Teller, age: u64) {
+    pub fn record_release(&self, model_version: &ModelVersion, source: Reporter, age: u64) {
         let now = clock::now();
         let earliest = Instant::from_millis(now.as_millis().saturating_sub(age));
         let mut releases = self.releases.borrow_mut();
         let known = releases.entry(model_version.model.clone()).or_default();
-        if known.note(model_version.version, source, earliest, now) {
+        if known.record(model_version.version, source, earliest, now) {
             tracing::info!(
                 model = model_version.model,
                 version = model_version.version.0,
@@ -34,8 +34,8 @@
     }
 
     /// Records a release that the gateway `source` reported.
-    pub fn record_peer_release(&self, release: message::ReportedRelease, source: Teller) {
-        let model_version = Named {
+    pub fn record_peer_release(&self, release: message::ReportedRelease, source: Reporter) {
+        let model_version = ModelVersion {
             model: release.model,
             version: Version(release.version),
         };
@@ -43,40 +43,40 @@
     }
 
     /// Known releases of `model`.
-    pub fn release_times(&self, model: &str) -> Vec<NamedAt> {
+    pub fn release_times(&self, model: &str) -> Vec<ReleaseTime> {
         let releases = self.releases.borrow();
-        let known = releases.get(model).into_iter().flat_map(Namings::iter);
-        let release_time = |release: &Naming| NamedAt {
+        let known = releases.get(model).into_iter().flat_map(Releases::iter);
+        let release_time = |release: &Release| ReleaseTime {
             version: release.version,
-            at: release.at,
+            at: release.released_at,
         };
         known.map(release_time).collect()
     }
 
     /// Time until which the engine may serve its loaded version.
-    pub fn validity(&self, model: &str) -> Tenure {
+    pub fn validity(&self, model: &str) -> Validity {
         let Some(loaded) = self.loaded_version(model) else {
-            return Tenure::Empty;
+            return Validity::Empty;
         };
         let within = self.settings.version_within.0;
         let releases = self.releases.borrow();
-        let known = releases.get(model).into_iter().flat_map(Namings::iter);
+        let known = releases.get(model).into_iter().flat_map(Releases::iter);
         let newer = known.filter(|known| known.version > loaded);
-        let due = newer.map(|newer| newer.due_at(within)).min();
-        due.map_or(Tenure::Unbounded, Tenure::Until)
+        let due = newer.map(|newer| newer.expires_at(within)).min();
+        due.map_or(Validity::Unbounded, Validity::Until)
     }
 
     /// Time at which this loader first learned of the release.
-    pub fn first_known_at(&self, model_version: &Named) -> Option<Instant> {
+    pub fn first_known_at(&self, model_version: &ModelVersion) -> Option<Instant> {
         let releases = self.releases.borrow();
         let mut known = releases.get(&model_version.model)?.iter();
         let own = known.find(|known| known.version == model_version.version)?;
-        Some(own.heard)
+        Some(own.discovered_at)
     }
 
     /// Version that the engine should load. Version 0 stands for the origin's newest, and is
     /// returned after a wait for other versions to become known.
-    pub fn target(&self) -> Option<Named> {
+    pub fn target(&self) -> Option<ModelVersion> {
         let model = self.model()?;
         let release_times = self.release_times(&model);
         let known = Known {
@@ -87,13 +87,13 @@
                 .max(self.reported_unreleased(&model, false)),
         };
         let mut origin_fallback = self.origin_fallback.borrow_mut();
-        let version = match known.wanted() {
+        let version = match known.target() {
             Some(version) => {
-                origin_fallback.end();
+                origin_fallback.reset();
                 version
             }
             None if self.loaded_version(&model).is_some() => {
-                origin_fallback.end();
+                origin_fallback.reset();
                 return None;
             }
             None => {
@@ -103,7 +103,7 @@
                 is_over.then(Version::default)?
             }
         };
-        Some(Named { model, version })
+        Some(ModelVersion { model, version })
     }
 
     /// Newest unreleased version of `model` that gateways report at the origin (`is_found`) or at
@@ -119,7 +119,7 @@
     }
 
     /// Machines whose engines serve exactly `model_version`.
-    pub fn machines_serving(&self, model_version: &Named) -> BTreeSet<IpAddr> {
+    pub fn machines_serving(&self, model_version: &ModelVersion) -> BTreeSet<IpAddr> {
         let fleet = self.fleet.borrow();
         let now = clock::now();
         let serves = |engine: &Engine| {
@@ -146,7 +146,7 @@
             let at = clock::now();
             self.complete_versions
                 .borrow_mut()
-                .push(NamedAt { version, at });
+                .push(ReleaseTime { version, at });
         }
     }
 
--- a/crates/gingerpier_gateway/src/loader/wait_log.rs
+++ b/crates/gingerpier_gateway/src/loader/wait_log.rs
@@ -4,7 +4,7 @@
     super::Loader,
     crate::{clock, weights::cache::ChunkSet},
     gingerpier_base::Instant,
-    gingerpier_serving::dialect::Named,
+    gingerpier_serving::platform_api::ModelVersion,
     std::rc::Rc,
 };
 
@@ -66,7 +66,7 @@
 }
 
 /// What the engine is waiting for and its target version; none if it has loaded the target.
-fn current_wait(loader: &Loader) -> Option<(WaitReason, Option<Named>)> {
+fn current_wait(loader: &Loader) -> Option<(WaitReason, Option<ModelVersion>)> {
     if loader.model().is_none() {
         return Some((WaitReason::Services, None));
     }
--- a/crates/gingerpier_gateway/src/members.rs
+++ b/crates/gingerpier_gateway/src/members.rs
@@ -7,7 +7,7 @@
         metrics::Kind,
         state::State,
     },
-    gingerpier_serving::{liveness::News, zones::Exchange},
+    gingerpier_serving::{liveness::Update, zones::Exchange},
     std::{net::SocketAddr, rc::Rc},
     tokio::net::UdpSocket,
 };
@@ -22,7 +22,7 @@
         let now = clock::now();
         let mut zones = state.zones.borrow_mut();
         let members = zones.liveness().poll(now);
-        for dead in zones.liveness().take_ended() {
+        for dead in zones.liveness().take_newly_dead() {
             tracing::info!(gateway = %dead, "gateway is gone");
         }
         for member in members {
@@ -50,24 +50,24 @@
 /// Applies membership updates of `from`, a gateway of the own zone.
 pub fn apply_updates(zones: &mut Exchange, from: SocketAddr, probe: &Probe) {
     let now = clock::now();
-    let updates = probe.news.iter().map(|update| News {
+    let updates = probe.news.iter().map(|update| Update {
         member: update.address,
         incarnation: update.incarnation,
-        is_gone: update.is_gone,
+        is_dead: update.is_gone,
     });
-    let updates: Vec<News> = updates.collect();
+    let updates: Vec<Update> = updates.collect();
     let liveness = zones.liveness();
-    liveness.note_alive(from, probe.incarnation, now);
-    liveness.take(&updates, now);
+    liveness.record_message(from, probe.incarnation, now);
+    liveness.apply_updates(&updates, now);
 }
 
 fn probe_for(zones: &mut Exchange, receiver: SocketAddr) -> Probe {
     let liveness = zones.liveness();
-    let updates = liveness.news_for(receiver).into_iter();
+    let updates = liveness.updates_for(receiver).into_iter();
     let updates = updates.map(|update| MemberUpdate {
         address: update.member,
         incarnation: update.incarnation,
-        is_gone: update.is_gone,
+        is_gone: update.is_dead,
     });
     Probe {
         incarnation: liveness.incarnation(),
--- a/crates/gingerpier_gateway/src/message/suspects.rs
+++ b/crates/gingerpier_gateway/src/message/suspects.rs
@@ -3,9 +3,9 @@
 use {
     gingerpier_base::Instant,
     gingerpier_serving::{
-        mark::{LENGTH, Mark},
+        fingerprint::{Fingerprint, LENGTH_BYTES},
         report::Version,
-        suspects::{End, Incarnation},
+        suspects::{Crash, Incarnation},
         trials::Trial,
     },
     minicbor::{Decode, Encode},
@@ -15,15 +15,15 @@
 /// Fingerprint of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
-pub struct FingerprintBytes(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH]);
+pub struct FingerprintBytes(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH_BYTES]);
 
-impl From<Mark> for FingerprintBytes {
-    fn from(mark: Mark) -> Self {
+impl From<Fingerprint> for FingerprintBytes {
+    fn from(mark: Fingerprint) -> Self {
         Self(mark.0)
     }
 }
 
-impl From<FingerprintBytes> for Mark {
+impl From<FingerprintBytes> for Fingerprint {
     fn from(told: FingerprintBytes) -> Self {
         Self(told.0)
     }
@@ -51,9 +51,9 @@
 
 impl CrashUpdate {
     /// Encodes `end` at `now`.
-    pub fn new(end: &End, now: Instant) -> Self {
+    pub fn new(end: &Crash, now: Instant) -> Self {
         Self {
-            mark: end.mark.into(),
+            mark: end.fingerprint.into(),
             account: end.account,
             engine: end.engine.0,
             version: end.version.0,
@@ -62,9 +62,9 @@
     }
 
     /// Decodes the crash, received at `now`.
-    pub fn end(&self, now: Instant) -> End {
-        End {
-            mark: self.mark.into(),
+    pub fn end(&self, now: Instant) -> Crash {
+        Crash {
+            fingerprint: self.mark.into(),
             account: self.account,
             engine: Incarnation(self.engine),
             version: Version(self.version),
@@ -119,8 +119,8 @@
     /// Encodes `trial`.
     pub fn new(trial: &Trial, is_over: bool) -> Self {
         Self {
-            mark: trial.mark.into(),
-            by: trial.by,
+            mark: trial.fingerprint.into(),
+            by: trial.gateway,
             engine: trial.engine.map(|engine| engine.0),
             is_over,
         }
@@ -129,8 +129,8 @@
     /// Decodes the trial.
     pub fn trial(&self) -> Trial {
         Trial {
-            by: self.by,
-            mark: self.mark.into(),
+            gateway: self.by,
+            fingerprint: self.mark.into(),
             engine: self.engine.map(Incarnation),
         }
     }
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -100,7 +100,7 @@
 /// Machines of another zone to subscribe at: a sample that differs between gateways, and none while
 /// digests of the zone arrive.
 fn sample(state: &State, zone: &str, machines: BTreeSet<IpAddr>) -> Vec<IpAddr> {
-    let count = state.zones.borrow().sample(zone, clock::now());
+    let count = state.zones.borrow().sample_size(zone, clock::now());
     if count == 0 {
         return Vec::new();
     }
@@ -127,7 +127,11 @@
             clock::pause(1).await;
             continue;
         };
-        state.zones.borrow_mut().liveness().note_heard(clock::now());
+        state
+            .zones
+            .borrow_mut()
+            .liveness()
+            .record_received(clock::now());
         match message::decode(&bytes[..length]) {
             Some(Datagram::Load(load)) => {
                 state.metrics.note_message(Kind::Report, length);
@@ -169,7 +173,7 @@
             );
         }
         if is_significant(engine, &report, &state.settings.zone) {
-            state.zones.borrow_mut().note_news();
+            state.zones.borrow_mut().request_early_digest();
         }
         engine.note_report(report, clock::now());
         if load.echo > 0 {
@@ -192,7 +196,7 @@
     let mut zones = state.zones.borrow_mut();
     for gateway in gateways {
         match gateway.address.parse() {
-            Ok(address) => zones.note_member(&gateway.zone, address, now),
+            Ok(address) => zones.record_member(&gateway.zone, address, now),
             Err(error) => {
                 tracing::warn!(address = gateway.address, cause = %error, "invalid gateway address");
             }
--- a/crates/gingerpier_gateway/src/snapshots.rs
+++ b/crates/gingerpier_gateway/src/snapshots.rs
@@ -47,7 +47,7 @@
     pub fn encode(&self, mirror: &Mirror, after: Revision, may_compress: bool) -> EncodedSnapshot {
         let key = SnapshotKey {
             after,
-            at: mirror.at(),
+            at: mirror.revision(),
             change_count: mirror.change_count(),
             may_compress,
         };
--- a/crates/gingerpier_gateway/src/state/contact.rs
+++ b/crates/gingerpier_gateway/src/state/contact.rs
@@ -6,8 +6,8 @@
     gingerpier_base::Instant,
     gingerpier_serving::{
         mirror::Revision,
-        naming::Told,
-        outage::{Outage, Return},
+        outage::{Outage, Recovery},
+        release::PeerAge,
     },
 };
 
@@ -43,7 +43,7 @@
 
     /// Records a failed call to the store.
     pub fn note_store_failure(&self, cause: &dyn std::fmt::Display) {
-        self.with_outage(|outage| outage.note_failure(clock::now()));
+        self.with_outage(|outage| outage.record_failure(clock::now()));
         let age = self.contact_age();
         tracing::warn!(store = %self.settings.store, cause = %cause, ?age, "store does not answer");
     }
@@ -52,7 +52,7 @@
     pub fn record_store_response(&self, revision: Revision) {
         let now = clock::now();
         let previous = self.last_return();
-        self.with_outage(|outage| outage.note_answer(revision, now));
+        self.with_outage(|outage| outage.record_response(revision, now));
         if let Some(new) = self.last_return().filter(|new| Some(*new) != previous) {
             let millis = new.until.millis_since(now);
             tracing::info!(
@@ -64,22 +64,22 @@
     }
 
     /// Records when the store last responded to another gateway, and the last recovery that it saw.
-    pub fn note_told_outage(&self, answered: Option<Instant>, last_return: Option<Return>) {
+    pub fn note_told_outage(&self, answered: Option<Instant>, last_return: Option<Recovery>) {
         let now = clock::now();
         self.with_outage(|outage| {
             // The recovery is judged by the state before this response.
             if let Some(last_return) = last_return {
-                outage.note_told(last_return, now);
+                outage.record_peer_recovery(last_return, now);
             }
             if let Some(answered) = answered {
-                outage.note_word(answered);
+                outage.record_peer_response(answered);
             }
         });
     }
 
     /// Last recovery of the store, while engines' missing entries may still return.
-    pub fn last_return(&self) -> Option<Return> {
-        self.outage.get().last_return(clock::now())
+    pub fn last_return(&self) -> Option<Recovery> {
+        self.outage.get().last_recovery(clock::now())
     }
 
     fn with_outage(&self, change: impl FnOnce(&mut Outage)) {
@@ -116,7 +116,7 @@
     /// Records that the mirror is complete as of `requested`.
     pub fn record_fresh(&self, requested: Instant) {
         let mut freshness = self.freshness.get();
-        freshness.note_answer(requested);
+        freshness.record_response(requested);
         self.freshness.set(freshness);
     }
 
@@ -125,12 +125,12 @@
     /// `None` if it doesn't know.
     pub fn note_told(&self, requested: Instant, age_millis: Option<u64>, held_for_millis: u64) {
         let Some(age_millis) = age_millis else { return };
-        let peer_age = Told {
+        let peer_age = PeerAge {
             held_millis: held_for_millis,
             age_millis,
         };
         let mut freshness = self.freshness.get();
-        freshness.note_told(requested, peer_age, clock::now());
+        freshness.record_peer_response(requested, peer_age, clock::now());
         self.freshness.set(freshness);
     }
 
--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -5,11 +5,11 @@
     crate::{clock, metrics::EngineLabels},
     gingerpier_serving::{
         admission::{self, Demand, Standing},
-        dialect::Subject,
         evenness::Even,
         fleet::Record,
         mirror::{Item, Revision},
         outage::Absence,
+        platform_api::ItemKind,
         region::Homes,
     },
 };
@@ -20,14 +20,14 @@
 
 impl State {
     pub(super) fn handle_deletion(&self, item: &Item, deletion: Absence) {
-        let id = match self.dialect.subject(&item.key) {
-            Subject::Engine(id) => id,
-            Subject::Evacuation(zone) => return self.set_evacuated(&zone, false, item.revision),
+        let id = match self.dialect.item_kind(&item.key) {
+            ItemKind::Engine(id) => id,
+            ItemKind::Evacuation(zone) => return self.set_evacuated(&zone, false, item.revision),
             _ => return,
         };
         let revision = item.revision.0;
         let mut fleet = self.fleet.borrow_mut();
-        match self.outage.get().lapses_at(deletion, clock::now()) {
+        match self.outage.get().excused_until(deletion, clock::now()) {
             Some(until) => {
                 fleet.lapse(&id, until);
                 tracing::info!(
@@ -79,7 +79,7 @@
 
     /// Unlists the engine whose entry can't be parsed, until a valid entry replaces it.
     pub(super) fn unlist_unreadable(&self, item: &Item) {
-        let Subject::Engine(id) = self.dialect.subject(&item.key) else {
+        let ItemKind::Engine(id) = self.dialect.item_kind(&item.key) else {
             return;
         };
         let mut fleet = self.fleet.borrow_mut();
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -24,12 +24,12 @@
         arrivals::Arrivals,
         budget::{Budget, Terms},
         configuration::Configuration,
-        dialect::{Dialect, Fact},
         fleet::{EngineKey, Fleet},
         mirror::{Changes, Item, Mirror, Revision},
-        naming::{Freshness, Namings},
         outage::{Absence, Outage},
+        platform_api::{Content, PlatformApi},
         region::Regions,
+        release::{Freshness, Releases},
         report::Version,
         returns::{Returns, Visit},
         sizes::{Band, Sizes},
@@ -50,7 +50,7 @@
     /// Settings from the settings file.
     pub settings: Settings,
     /// Protocol of the deployment platform.
-    pub dialect: &'static dyn Dialect,
+    pub dialect: &'static dyn PlatformApi,
     /// Parser of the store's items.
     pub items: Parser,
     /// Local copy of the store.
@@ -92,7 +92,7 @@
     prompt_sizes: RefCell<Sizes>,
     shedding: RefCell<work::SheddingTable>,
     regions: Regions,
-    releases: RefCell<HashMap<String, Namings>>,
+    releases: RefCell<HashMap<String, Releases>>,
     /// Version that the origin offers, by model.
     origin_versions: RefCell<HashMap<String, Version>>,
     last_contact: Cell<Option<Instant>>,
@@ -108,7 +108,7 @@
 
 impl State {
     /// Creates the state of a process that starts now.
-    pub fn new(settings: Settings, dialect: &'static dyn Dialect) -> Self {
+    pub fn new(settings: Settings, dialect: &'static dyn PlatformApi) -> Self {
         let started = clock::now();
         let regions = settings.regions.iter();
         let regions =
@@ -205,18 +205,18 @@
                 None => self.handle_deletion(&item, deletion(&item)),
             }
         }
-        let at = self.mirror.borrow().at();
+        let at = self.mirror.borrow().revision();
         self.metrics.revision.set(at.0 as i64);
         self.news.notify_waiters();
     }
 
     fn handle_item(&self, item: &Item) {
         match self.items.parse(item) {
-            Some(Fact::Configuration(configuration)) => self.apply_configuration(*configuration),
-            Some(Fact::Engine(record)) => self.list_engine(*record, item.revision),
-            Some(Fact::Weights(release)) => self.record_release(&release),
-            Some(Fact::Evacuation(zone)) => self.set_evacuated(&zone, true, item.revision),
-            Some(Fact::Other) => {}
+            Some(Content::Configuration(configuration)) => self.apply_configuration(*configuration),
+            Some(Content::Engine(record)) => self.list_engine(*record, item.revision),
+            Some(Content::Weights(release)) => self.record_release(&release),
+            Some(Content::Evacuation(zone)) => self.set_evacuated(&zone, true, item.revision),
+            Some(Content::Other) => {}
             None => self.unlist_unreadable(item),
         }
     }
@@ -326,7 +326,7 @@
     /// Gateways of all zones that are alive.
     pub fn living_gateways(&self) -> BTreeSet<GatewayLocation> {
         let zones = self.zones.borrow();
-        let alive = zones.living(clock::now());
+        let alive = zones.alive(clock::now());
         let location = |(zone, address): (&str, SocketAddr)| GatewayLocation {
             address,
             zone: zone.to_owned(),
--- a/crates/gingerpier_gateway/src/state/naming.rs
+++ b/crates/gingerpier_gateway/src/state/naming.rs
@@ -5,25 +5,26 @@
     crate::{clock, message},
     gingerpier_serving::{
         admission::Due,
-        dialect::Named,
-        naming::{Naming, Namings, OWN},
+        platform_api::ModelVersion,
+        release::{LOCAL, Release, Releases},
         report::Version,
     },
 };
 
 impl State {
     /// Records a release that this gateway read from the store.
-    pub fn record_release(&self, release: &Named) {
+    pub fn record_release(&self, release: &ModelVersion) {
         let now = clock::now();
         let (freshness, within_millis) = (self.freshness.get(), self.settings.version_within.0);
-        let earliest = freshness.earliest(within_millis, now);
+        let earliest = freshness.earliest_release(within_millis, now);
         let mut releases = self.releases.borrow_mut();
         let model_releases = releases.entry(release.model.clone()).or_default();
-        if !model_releases.note(release.version, OWN, earliest, now) {
+        if !model_releases.record(release.version, LOCAL, earliest, now) {
             return;
         }
         // Counts a stall of the process that no timer has noticed yet.
-        model_releases.note_break(freshness.due_after_break(self.record_tick(), within_millis));
+        model_releases
+            .set_restart_expiry(freshness.restart_expiry(self.record_tick(), within_millis));
         tracing::info!(
             model = release.model,
             version = release.version.0,
@@ -34,10 +35,10 @@
     }
 
     /// Newest release of each model.
-    pub fn named(&self) -> Vec<Named> {
+    pub fn named(&self) -> Vec<ModelVersion> {
         let releases = self.releases.borrow();
-        let newest = |(model, model_releases): (&String, &Namings)| {
-            Some(Named {
+        let newest = |(model, model_releases): (&String, &Releases)| {
+            Some(ModelVersion {
                 model: model.clone(),
                 version: model_releases.newest()?.version,
             })
@@ -53,17 +54,17 @@
 
     /// True if another process may already have a part of the version: it is no release, is known
     /// for `millis`, or may have been released before this process began to run.
-    pub fn may_be_held(&self, release: &Named, millis: u64) -> bool {
+    pub fn may_be_held(&self, release: &ModelVersion, millis: u64) -> bool {
         let releases = self.releases.borrow();
         let model_releases = releases
             .get(&release.model)
             .into_iter()
-            .flat_map(Namings::iter);
+            .flat_map(Releases::iter);
         let mut same_version =
             model_releases.filter(|candidate| candidate.version == release.version);
         same_version.all(|candidate| {
-            let age = clock::now().millis_since(candidate.heard);
-            age >= millis || candidate.due_after_break.is_some()
+            let age = clock::now().millis_since(candidate.discovered_at);
+            age >= millis || candidate.restart_expiry.is_some()
         })
     }
 
@@ -71,12 +72,12 @@
     pub fn releases(&self) -> Vec<message::ReportedRelease> {
         let now = clock::now();
         let releases = self.releases.borrow();
-        let newest = |(model, model_releases): (&String, &Namings)| {
+        let newest = |(model, model_releases): (&String, &Releases)| {
             let newest = model_releases.newest()?;
             Some(message::ReportedRelease {
                 model: model.clone(),
                 version: newest.version.0,
-                age: now.millis_since(newest.at),
+                age: now.millis_since(newest.released_at),
             })
         };
         releases.iter().filter_map(newest).collect()
@@ -85,16 +86,16 @@
     /// Past and coming cutovers of `model`.
     pub fn cutovers(&self, model: &str) -> Vec<Due> {
         let releases = self.releases.borrow();
-        let model_releases = releases.get(model).into_iter().flat_map(Namings::iter);
+        let model_releases = releases.get(model).into_iter().flat_map(Releases::iter);
         model_releases
             .map(|release| self.cutover_of(release))
             .collect()
     }
 
-    fn cutover_of(&self, release: &Naming) -> Due {
+    fn cutover_of(&self, release: &Release) -> Due {
         Due {
             version: release.version,
-            at: release.due_at(self.settings.version_within.0),
+            at: release.expires_at(self.settings.version_within.0),
         }
     }
 }
--- a/crates/gingerpier_gateway/src/state/unnamed.rs
+++ b/crates/gingerpier_gateway/src/state/unnamed.rs
@@ -3,7 +3,9 @@
 use {
     super::State,
     crate::{clock, message},
-    gingerpier_serving::{configuration::Configuration, dialect::Named, unnamed::Known},
+    gingerpier_serving::{
+        configuration::Configuration, platform_api::ModelVersion, unreleased::Known,
+    },
 };
 
 /// Models of the configuration's engines, as pairs of service and model.
@@ -45,7 +47,7 @@
     }
 
     /// Records the version that the origin offers and notifies loaders.
-    pub fn note_found(&self, found: Named) {
+    pub fn note_found(&self, found: ModelVersion) {
         let previous = self
             .origin_versions
             .borrow_mut()
@@ -68,7 +70,7 @@
                 return None;
             }
             let known = self.known_weights(service, model);
-            let version = known.wanted()?;
+            let version = known.target()?;
             Some(message::UnreleasedVersion {
                 model: model.to_owned(),
                 version: version.0,
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -13,10 +13,10 @@
     gingerpier_base::Instant,
     gingerpier_http1::connection::Whole,
     gingerpier_serving::{
-        dialect::{Call, Dialect, Page, Scope, Watched},
         mirror::{Item, Revision},
-        outage::MOST_PAUSE_MILLIS,
-        watching::{Step, Watching},
+        outage::MAX_RETRY_PAUSE_MILLIS,
+        platform_api::{ApiRequest, Page, PlatformApi, Scope, WatchResponse},
+        watching::{Step, WatcherSelection},
     },
     std::{net::SocketAddr, rc::Rc},
 };
@@ -83,7 +83,7 @@
     pub async fn read(
         &mut self,
         client: &mut Client,
-        dialect: &dyn Dialect,
+        dialect: &dyn PlatformApi,
         scope: Scope,
         stale: bool,
     ) -> Result<Instant, Error> {
@@ -101,9 +101,9 @@
             let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
             let page = read_page(client.peer(), dialect, &response)?;
             if is_first_page {
-                self.at = page.at;
+                self.at = page.revision;
             }
-            self.newest_at = page.at;
+            self.newest_at = page.revision;
             let items = page.items.into_iter();
             self.items
                 .extend(items.map(|item| strip_unused_value(dialect, item)));
@@ -121,7 +121,7 @@
 /// Fails if a page can't be read.
 pub async fn read_all(
     client: &mut Client,
-    dialect: &dyn Dialect,
+    dialect: &dyn PlatformApi,
     scope: Scope,
     stale: bool,
 ) -> Result<Copy, Error> {
@@ -132,17 +132,17 @@
 
 /// Creates a client of the store at `peer` that uses a small request to tell a dead connection from
 /// a slow network.
-pub fn client(peer: SocketAddr, dialect: &dyn Dialect) -> Client {
+pub fn client(peer: SocketAddr, dialect: &dyn PlatformApi) -> Client {
     Client::new(peer).with_probe(small_request(dialect))
 }
 
 /// Request for an empty page that may be stale, which costs little.
-fn small_request(dialect: &dyn Dialect) -> Call {
+fn small_request(dialect: &dyn PlatformApi) -> ApiRequest {
     dialect.list(Scope::Everything, AFTER_LAST_KEY, true)
 }
 
-fn read_page(peer: SocketAddr, dialect: &dyn Dialect, response: &Whole) -> Result<Page, Error> {
-    let page = dialect.read_list(response.head.status, &response.body);
+fn read_page(peer: SocketAddr, dialect: &dyn PlatformApi, response: &Whole) -> Result<Page, Error> {
+    let page = dialect.parse_list(response.head.status, &response.body);
     page.map_err(|what| Error::Answer {
         step: Operation::Read,
         peer,
@@ -157,14 +157,14 @@
 /// Fails if the request fails or the response is invalid.
 pub async fn watch(
     client: &mut Client,
-    dialect: &dyn Dialect,
+    dialect: &dyn PlatformApi,
     scope: Scope,
     after: Revision,
     millis: u64,
-) -> Result<Watched, Error> {
+) -> Result<WatchResponse, Error> {
     let request = dialect.watch(scope, after, millis);
     let response = client.call(&request, millis + WATCH_SLACK_MILLIS).await?;
-    let watched = dialect.read_watch(response.head.status, &response.body);
+    let watched = dialect.parse_watch(response.head.status, &response.body);
     watched.map_err(|what| Error::Answer {
         step: Operation::Read,
         peer: client.peer(),
@@ -188,7 +188,7 @@
 /// Keeps a gateway's mirror up to date, from the store or from a gateway of its zone that watches
 /// the store.
 pub async fn follow(state: Rc<State>) {
-    let mut watching = Watching::new(state.settings.control, clock::now());
+    let mut watching = WatcherSelection::new(state.settings.control, clock::now());
     let client = Client::recording(state.settings.store, state.store_received_at.clone());
     let mut polling = Polling {
         client: client.with_probe(small_request(state.dialect)),
@@ -200,8 +200,8 @@
     let mut watcher: Option<Client> = None;
     let mut last_kind = None;
     loop {
-        let has_copy = state.mirror.borrow().at() > Revision::default();
-        let step = watching.next(&state.neighbours(), has_copy, clock::now());
+        let has_copy = state.mirror.borrow().revision() > Revision::default();
+        let step = watching.next_step(&state.neighbours(), has_copy, clock::now());
         let kind = std::mem::discriminant(&step);
         if last_kind.replace(kind) != Some(kind) && matches!(step, Step::Store | Step::Probe) {
             tracing::info!(?step, has_copy, age = ?state.contact_age(), "store is asked by this gateway");
@@ -212,13 +212,13 @@
             Step::Wait(until) => clock::until(until).await,
             Step::FirstCopy(member) => {
                 if !store_sharing::fetch_first_copy(&state, member).await {
-                    watching.note_without_copy(member);
+                    watching.record_missing_copy(member);
                 }
             }
             Step::Member(member) => {
                 let connected = watcher.take().filter(|client| client.peer() == member);
                 let mut client = connected.unwrap_or_else(|| watcher_client(member));
-                let max_age_millis = watching.most_age_millis(member, clock::now());
+                let max_age_millis = watching.max_age_millis(member, clock::now());
                 match store_sharing::poll_watcher(&state, &mut client, max_age_millis).await {
                     Ok(()) => {
                         watcher = Some(client);
@@ -228,7 +228,7 @@
                     }
                     Err(failure) => {
                         tracing::info!(watcher = %member, ?failure, age = ?state.contact_age(), "poll of a watching gateway failed; trying another one");
-                        watching.note_failure(member, failure, clock::now());
+                        watching.record_failure(member, failure, clock::now());
                     }
                 }
             }
@@ -243,7 +243,7 @@
 
 /// Watches the store for changes, or reads a full copy.
 async fn poll_store(state: &State, polling: &mut Polling) {
-    let has_copy = state.mirror.borrow().at() > Revision::default();
+    let has_copy = state.mirror.borrow().revision() > Revision::default();
     let fresh_at = if has_copy && !polling.needs_copy {
         watch_once(state, polling).await
     } else {
@@ -267,7 +267,7 @@
 }
 
 /// Checks the store's revision while other gateways are meant to watch it.
-async fn probe_store(state: &State, polling: &mut Polling, watching: &mut Watching) {
+async fn probe_store(state: &State, polling: &mut Polling, watching: &mut WatcherSelection) {
     let requested = clock::now();
     let is_current = is_current(state, &mut polling.client).await;
     let elapsed_millis = clock::now().millis_since(requested);
@@ -275,7 +275,7 @@
     if is_current.is_ok() {
         polling.consecutive_failures = 0;
     }
-    watching.note_probe(is_ahead, elapsed_millis, clock::now());
+    watching.record_probe(is_ahead, elapsed_millis, clock::now());
     match is_current {
         Ok(true) => {
             state.note_contact(0);
@@ -296,7 +296,7 @@
     async fn back_off(&mut self) {
         let max_millis =
             MAX_FIRST_BACKOFF_MILLIS << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
-        let max_millis = max_millis.min(MOST_PAUSE_MILLIS);
+        let max_millis = max_millis.min(MAX_RETRY_PAUSE_MILLIS);
         self.consecutive_failures += 1;
         clock::pause(fastrand::u64(POLL_PAUSE_MILLIS..max_millis)).await;
     }
@@ -321,7 +321,7 @@
 /// mirror keeps its revision on an error, so the next watch resumes there.
 async fn watch_once(state: &State, polling: &mut Polling) -> Result<Option<Instant>, Error> {
     state.metrics.store_calls.inc();
-    let after = state.mirror.borrow().at();
+    let after = state.mirror.borrow().revision();
     let requested = clock::now();
     let client = &mut polling.client;
     client.max_body_bytes = max_watch_bytes(state);
@@ -342,8 +342,8 @@
         return Ok(None);
     }
     match watched? {
-        Watched::HistoryGone => polling.needs_copy = true,
-        Watched::Changes(page) if page.items.is_empty() => {
+        WatchResponse::Compacted => polling.needs_copy = true,
+        WatchResponse::Changes(page) if page.items.is_empty() => {
             let requested = clock::now();
             let is_behind = !is_current(state, &mut polling.client).await?;
             // A change between the two responses is returned by the next watch; a full copy is read
@@ -352,10 +352,10 @@
             polling.has_missed_changes = is_behind;
             return Ok((!is_behind).then_some(requested));
         }
-        Watched::Changes(page) => {
+        WatchResponse::Changes(page) => {
             polling.has_missed_changes = false;
-            state.record_store_response(page.at);
-            state.apply_writes(page.items, page.at);
+            state.record_store_response(page.revision);
+            state.apply_writes(page.items, page.revision);
             return Ok(Some(requested));
         }
     }
@@ -379,6 +379,6 @@
     let request = state.dialect.list(Scope::Everything, AFTER_LAST_KEY, false);
     let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
     let page = read_page(client.peer(), state.dialect, &response)?;
-    state.record_store_response(page.at);
-    Ok(page.at <= state.mirror.borrow().at())
+    state.record_store_response(page.revision);
+    Ok(page.revision <= state.mirror.borrow().revision())
 }
--- a/crates/gingerpier_gateway/src/store_sharing.rs
+++ b/crates/gingerpier_gateway/src/store_sharing.rs
@@ -19,9 +19,9 @@
         writer::Message,
     },
     gingerpier_serving::{
-        dialect::Call,
         mirror::Revision,
-        outage::Return,
+        outage::Recovery,
+        platform_api::ApiRequest,
         watching::{self, Failure},
     },
     std::{net::SocketAddr, rc::Rc},
@@ -154,7 +154,7 @@
 /// Returns once a newer revision than requested is known, or the wait time is over.
 async fn wait_for_changes(state: &State, snapshot_request: &SnapshotRequest) {
     let deadline = clock::now().after_millis(snapshot_request.wait_millis.min(MAX_WAIT_MILLIS));
-    while state.mirror.borrow().at() <= snapshot_request.after {
+    while state.mirror.borrow().revision() <= snapshot_request.after {
         let changes = clock::before(deadline, state.news.notified());
         if changes.await.is_none() {
             return;
@@ -203,7 +203,7 @@
     max_age_millis: u64,
 ) -> Result<(), Failure> {
     let snapshot_request = SnapshotRequest {
-        after: state.mirror.borrow().at(),
+        after: state.mirror.borrow().revision(),
         wait_millis: MAX_WAIT_MILLIS,
     };
     let received = exchange(
@@ -308,7 +308,7 @@
     snapshot_request: &SnapshotRequest,
     timeout_millis: u64,
 ) -> Option<ReceivedSnapshot> {
-    let call = Call::get(snapshot_request.target());
+    let call = ApiRequest::get(snapshot_request.target());
     let sent_at = clock::now();
     let response = client.call(&call, timeout_millis).await.ok()?;
     if response.head.status != 200 {
@@ -343,7 +343,7 @@
     let confirmed_at = ages
         .last_current
         .map(|age| Instant::from_millis(created_at.as_millis().saturating_sub(age)));
-    let last_recovery = ages.last_recovery.map(|last| Return {
+    let last_recovery = ages.last_recovery.map(|last| Recovery {
         revision: last.revision,
         until: created_at.after_millis(last.remaining_millis),
     });
@@ -408,7 +408,7 @@
 /// Applies a newer snapshot of another gateway; returns the age of its last contact with the store,
 /// or none if it has nothing newer.
 async fn fetch_snapshot(state: &State, peer: SocketAddr) -> Option<u64> {
-    let after = state.mirror.borrow().at();
+    let after = state.mirror.borrow().revision();
     let snapshot_request = SnapshotRequest {
         after,
         wait_millis: 0,
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -18,9 +18,9 @@
     },
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
-        mark::Mark,
+        fingerprint::Fingerprint,
         report::Version,
-        suspects::{Case, End, Incarnation, Noted, Standing, Suspects},
+        suspects::{Case, Crash, Incarnation, ReportOutcome, Status, Suspects},
         trials::{Trial, Trials},
     },
     std::{
@@ -61,11 +61,11 @@
 /// Updates that wait to be sent.
 #[derive(Default)]
 struct Outbox {
-    crashes: Vec<End>,
-    completions: Vec<(Mark, Version)>,
+    crashes: Vec<Crash>,
+    completions: Vec<(Fingerprint, Version)>,
     dismissals: Vec<DismissalUpdate>,
     trial_updates: Vec<TrialUpdate>,
-    repeats: VecDeque<(Instant, Vec<End>)>,
+    repeats: VecDeque<(Instant, Vec<Crash>)>,
 }
 
 /// A gateway's view of requests that are suspected of crashing engines.
@@ -84,14 +84,14 @@
 impl State {
     /// Records that an engine crashed while it ran a request of this gateway; `engine_count` is the
     /// number of listed engines.
-    pub fn record_crash(&self, crash: End, engine_count: usize) {
+    pub fn record_crash(&self, crash: Crash, engine_count: usize) {
         let change = self
             .suspect_state
             .suspects
             .borrow_mut()
-            .note_end(crash, engine_count);
+            .record_crash(crash, engine_count);
         // A refuted crash is not announced: most requests that many callers send are refuted soon.
-        if change == Noted::News {
+        if change == ReportOutcome::News {
             self.suspect_state.outbox.borrow_mut().crashes.push(crash);
             self.suspect_state.has_updates.notify_one();
         }
@@ -99,7 +99,7 @@
 
     /// Puts requests on hold that have enough crashes against them.
     fn evaluate_suspects(&self, now: Instant) {
-        let newly_held = self.suspect_state.suspects.borrow_mut().judge(now);
+        let newly_held = self.suspect_state.suspects.borrow_mut().evaluate(now);
         if newly_held.is_empty() {
             return;
         }
@@ -114,7 +114,8 @@
     /// Ids of the engines that crashed under a request, as far as they are known here.
     fn engine_ids(&self, case: &Case) -> Vec<String> {
         let fleet = self.fleet.borrow();
-        let crashed: BTreeSet<Incarnation> = case.ends.iter().map(|crash| crash.engine).collect();
+        let crashed: BTreeSet<Incarnation> =
+            case.crashes.iter().map(|crash| crash.engine).collect();
         let has_crashed = |engine: &&gingerpier_serving::engine::Engine| {
             crashed.contains(&Incarnation::of(&engine.record, engine.born()))
         };
@@ -123,19 +124,19 @@
     }
 
     /// Records that weights of `version` completed a request, which refutes earlier crashes.
-    pub fn record_completion(&self, fingerprint: Mark, version: Version) {
+    pub fn record_completion(&self, fingerprint: Fingerprint, version: Version) {
         let refutes = self
             .suspect_state
             .suspects
             .borrow_mut()
-            .note_finished(fingerprint, version);
+            .record_completion(fingerprint, version);
         if refutes {
             tracing::info!(mark = %fingerprint, version = version.0, "request completed; it did not cause earlier engine crashes");
             self.announce_completion(fingerprint, version);
         }
     }
 
-    fn announce_completion(&self, fingerprint: Mark, version: Version) {
+    fn announce_completion(&self, fingerprint: Fingerprint, version: Version) {
         let mut outbox = self.suspect_state.outbox.borrow_mut();
         outbox.completions.push((fingerprint, version));
         self.suspect_state.has_updates.notify_one();
@@ -158,13 +159,13 @@
         let mut suspects = self.suspect_state.suspects.borrow_mut();
         let held = suspects
             .held()
-            .filter(|(fingerprint, _)| fingerprint.begins_with(prefix));
-        let held: Vec<(Mark, u32)> = held
+            .filter(|(fingerprint, _)| fingerprint.has_prefix(prefix));
+        let held: Vec<(Fingerprint, u32)> = held
             .map(|(fingerprint, case)| (fingerprint, case.account))
             .collect();
         let mut outbox = self.suspect_state.outbox.borrow_mut();
         for (fingerprint, account) in &held {
-            for engine in suspects.pardon(*fingerprint) {
+            for engine in suspects.dismiss(*fingerprint) {
                 outbox.dismissals.push(DismissalUpdate {
                     mark: (*fingerprint).into(),
                     account: *account,
@@ -181,9 +182,12 @@
     /// are known here.
     pub fn held_text(&self) -> String {
         let suspects = self.suspect_state.suspects.borrow();
-        let line = |(mark, case): (Mark, &Case)| {
+        let line = |(mark, case): (Fingerprint, &Case)| {
             let engines = self.engine_ids(case).join(",");
-            format!("mark={mark} ended={} engines={engines}\n", case.ends.len())
+            format!(
+                "mark={mark} ended={} engines={engines}\n",
+                case.crashes.len()
+            )
         };
         suspects.held().map(line).collect()
     }
@@ -198,10 +202,10 @@
     }
 
     /// Completes once the request is on hold.
-    pub async fn until_held(&self, fingerprint: Mark) {
+    pub async fn until_held(&self, fingerprint: Fingerprint) {
         loop {
             let notified = self.suspect_state.request_held.notified();
-            if self.suspect_state.suspects.borrow().standing(fingerprint) == Standing::Held {
+            if self.suspect_state.suspects.borrow().status(fingerprint) == Status::Held {
                 return;
             }
             notified.await;
@@ -216,7 +220,7 @@
             let outbox = state.suspect_state.outbox.borrow();
             outbox.repeats.front().map(|(at, _)| *at)
         };
-        let evaluate_at = state.suspect_state.suspects.borrow().judges_at();
+        let evaluate_at = state.suspect_state.suspects.borrow().evaluates_at();
         match repeat_at.into_iter().chain(evaluate_at).min() {
             Some(at) => drop(clock::before(at, state.suspect_state.has_updates.notified()).await),
             None => state.suspect_state.has_updates.notified().await,
@@ -266,7 +270,7 @@
     split_into_messages(&crashes, &completions, &dismissals, &trial_updates)
 }
 
-fn completion_update((fingerprint, version): (Mark, Version)) -> CompletionUpdate {
+fn completion_update((fingerprint, version): (Fingerprint, Version)) -> CompletionUpdate {
     CompletionUpdate {
         mark: fingerprint.into(),
         version: version.0,
@@ -340,7 +344,7 @@
     let own = state.settings.peers;
     let mut sent_to_zone = 0;
     let mut last_zone = String::new();
-    for (zone, gateway) in zones.living(now) {
+    for (zone, gateway) in zones.alive(now) {
         if last_zone != zone {
             last_zone = zone.to_owned();
             sent_to_zone = 0;
@@ -403,17 +407,19 @@
             .suspect_state
             .suspects
             .borrow_mut()
-            .note_end(crash, engine_count);
+            .record_crash(crash, engine_count);
         match change {
-            Noted::Known => {}
-            Noted::News => news.ends.push(*report),
-            Noted::Refuted(version) => refutations.push(completion_update((crash.mark, version))),
+            ReportOutcome::Known => {}
+            ReportOutcome::News => news.ends.push(*report),
+            ReportOutcome::Refuted(version) => {
+                refutations.push(completion_update((crash.fingerprint, version)))
+            }
         }
     }
     refutations.dedup();
     let mut suspects = state.suspect_state.suspects.borrow_mut();
     for completion in &update.cleared {
-        if suspects.note_cleared(completion.mark.into(), Version(completion.version)) {
+        if suspects.record_refutation(completion.mark.into(), Version(completion.version)) {
             news.cleared.push(*completion);
             // A response to an update that this gateway may also have sent to others.
             if update.is_answer {
@@ -422,7 +428,7 @@
         }
     }
     for dismissal in &update.pardons {
-        if suspects.note_pardoned(
+        if suspects.record_dismissal(
             dismissal.mark.into(),
             dismissal.account,
             Incarnation(dismissal.engine),
@@ -433,8 +439,8 @@
     let mut trials = state.suspect_state.trials.borrow_mut();
     for trial_update in &update.trials {
         match trial_update.is_over {
-            true => trials.note_over(trial_update.mark.into(), trial_update.by),
-            false => trials.note_begun(trial_update.trial(), now),
+            true => trials.record_end(trial_update.mark.into(), trial_update.by),
+            false => trials.record_start(trial_update.trial(), now),
         }
         news.trials.push(*trial_update);
     }
@@ -447,14 +453,16 @@
 
 /// Messages with all serious cases.
 fn serious_cases(suspects: &Suspects, now: Instant) -> Vec<Message> {
-    let crashes = suspects.grave().flat_map(|(_, case)| &case.ends);
+    let crashes = suspects
+        .replicated_cases()
+        .flat_map(|(_, case)| &case.crashes);
     let crashes: Vec<CrashUpdate> = crashes.map(|crash| CrashUpdate::new(crash, now)).collect();
     let completions = suspects
-        .grave()
-        .filter_map(|(fingerprint, case)| Some((fingerprint, case.cleared?)));
+        .replicated_cases()
+        .filter_map(|(fingerprint, case)| Some((fingerprint, case.refuted_up_to?)));
     let completions: Vec<CompletionUpdate> = completions.map(completion_update).collect();
-    let dismissals = suspects.grave().flat_map(|(fingerprint, case)| {
-        case.pardoned.iter().map(move |engine| DismissalUpdate {
+    let dismissals = suspects.replicated_cases().flat_map(|(fingerprint, case)| {
+        case.dismissed.iter().map(move |engine| DismissalUpdate {
             mark: fingerprint.into(),
             account: case.account,
             engine: engine.0,
@@ -480,7 +488,7 @@
         }
         let receiver = {
             let zones = state.zones.borrow();
-            let others = zones.living(clock::now()).map(|(_, gateway)| gateway);
+            let others = zones.alive(clock::now()).map(|(_, gateway)| gateway);
             let others = others.filter(|gateway| *gateway != state.settings.peers);
             fastrand::choice(others.collect::<Vec<_>>())
         };
--- a/crates/gingerpier_gateway/src/weights/cache.rs
+++ b/crates/gingerpier_gateway/src/weights/cache.rs
@@ -2,7 +2,7 @@
 
 use {
     bytes::Bytes,
-    gingerpier_serving::{dialect::Manifest, report::Version},
+    gingerpier_serving::{platform_api::Manifest, report::Version},
     sha2::{Digest, Sha256},
     std::rc::Rc,
 };
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -9,7 +9,7 @@
     crate::{client::Client, clock, pool::Pool},
     actix_rt::task::JoinHandle,
     gingerpier_base::Instant,
-    gingerpier_serving::dialect::Named,
+    gingerpier_serving::platform_api::ModelVersion,
     gingerpier_weights::{
         fetch::{Action, Fetch, Outcome, Terms},
         plan::Source,
@@ -47,7 +47,7 @@
 /// Fetches a whole version as `spec` describes and returns the version that was found.
 ///
 /// Evaluates `spec` again when the fetch stalls, and restarts with its sources if they changed.
-pub async fn fetch(distributor: &Rc<Distributor>, spec: impl Fn() -> FetchSpec) -> Named {
+pub async fn fetch(distributor: &Rc<Distributor>, spec: impl Fn() -> FetchSpec) -> ModelVersion {
     loop {
         let current = spec();
         tokio::select! {
@@ -78,7 +78,7 @@
     }
 }
 
-async fn fetch_with(distributor: &Rc<Distributor>, spec: &FetchSpec) -> Named {
+async fn fetch_with(distributor: &Rc<Distributor>, spec: &FetchSpec) -> ModelVersion {
     let sources = Rc::new(Sources::new(spec));
     loop {
         let model_version =
@@ -110,7 +110,7 @@
 }
 
 /// Copies chunks that another cached version shares.
-fn copy_shared_chunks(distributor: &Distributor, model_version: &Named) {
+fn copy_shared_chunks(distributor: &Distributor, model_version: &ModelVersion) {
     let shared = distributor
         .chunk_cache
         .borrow_mut()
@@ -125,7 +125,7 @@
 }
 
 /// Reads chunks that are staged at the engine.
-async fn read_staged_chunks(distributor: &Rc<Distributor>, model_version: &Named) {
+async fn read_staged_chunks(distributor: &Rc<Distributor>, model_version: &ModelVersion) {
     let Some(manifest) = distributor.manifest(model_version) else {
         return;
     };
@@ -139,7 +139,9 @@
     };
     let mut client = Client::new(engine);
     for chunk in 0..manifest.digests.len() as u32 {
-        let call = distributor.dialect.laid_chunk(&model_version.model, chunk);
+        let call = distributor
+            .dialect
+            .staged_chunk(&model_version.model, chunk);
         let Ok(response) = client.call(&call, ENGINE_TIMEOUT_MILLIS).await else {
             return;
         };
@@ -156,7 +158,7 @@
 struct Download {
     distributor: Rc<Distributor>,
     sources: Rc<Sources>,
-    model_version: Named,
+    model_version: ModelVersion,
     fetch: Fetch,
     pool: Rc<RefCell<Pool<SocketAddr>>>,
     sender: UnboundedSender<Event>,
@@ -185,7 +187,7 @@
         distributor: Rc<Distributor>,
         sources: Rc<Sources>,
         spec: &FetchSpec,
-        model_version: Named,
+        model_version: ModelVersion,
     ) -> Self {
         let terms = Terms {
             window: spec.window,
--- a/crates/gingerpier_gateway/src/weights/manifest.rs
+++ b/crates/gingerpier_gateway/src/weights/manifest.rs
@@ -10,7 +10,7 @@
     crate::{client::Client, clock},
     bytes::Bytes,
     futures_util::future::{self, FutureExt},
-    gingerpier_serving::dialect::{Call, Manifest, Named},
+    gingerpier_serving::platform_api::{ApiRequest, Manifest, ModelVersion},
     gingerpier_weights::{Route, plan::Source},
     std::{net::SocketAddr, rc::Rc},
 };
@@ -40,8 +40,8 @@
     distributor: &Rc<Distributor>,
     sources: &Rc<Sources>,
     route: &Route,
-    model_version: &Named,
-) -> Named {
+    model_version: &ModelVersion,
+) -> ModelVersion {
     let is_cached = |chunk_cache: &ChunkCache| {
         chunk_cache
             .get(&model_version.model, model_version.version)
@@ -96,7 +96,7 @@
     distributor: &Distributor,
     source: Source,
     address: SocketAddr,
-    model_version: &Named,
+    model_version: &ModelVersion,
 ) -> FetchedManifest {
     let mut client = Client::new(address);
     let mut is_logged = false;
@@ -108,7 +108,7 @@
             }
         };
         let manifest = bytes.and_then(|bytes| {
-            let manifest = distributor.dialect.read_manifest(200, &bytes).ok()?;
+            let manifest = distributor.dialect.parse_manifest(200, &bytes).ok()?;
             Some((manifest, bytes))
         });
         if let Some((manifest, bytes)) = manifest {
@@ -130,10 +130,10 @@
 pub async fn fetch_from_origin(
     distributor: &Distributor,
     origin: &mut Client,
-    model_version: &Named,
-) -> Option<Named> {
+    model_version: &ModelVersion,
+) -> Option<ModelVersion> {
     let bytes = read_from_origin(distributor, origin, model_version).await?;
-    let manifest = distributor.dialect.read_manifest(200, &bytes).ok()?;
+    let manifest = distributor.dialect.parse_manifest(200, &bytes).ok()?;
     let source = origin.peer();
     Some(cache_manifest(
         distributor,
@@ -145,13 +145,13 @@
     ))
 }
 
-fn cache_manifest(distributor: &Distributor, fetched: FetchedManifest) -> Named {
+fn cache_manifest(distributor: &Distributor, fetched: FetchedManifest) -> ModelVersion {
     let FetchedManifest {
         manifest,
         bytes,
         source,
     } = fetched;
-    let model_version = Named {
+    let model_version = ModelVersion {
         model: manifest.model.clone(),
         version: manifest.version,
     };
@@ -168,7 +168,7 @@
 async fn read_from_origin(
     distributor: &Distributor,
     origin: &mut Client,
-    model_version: &Named,
+    model_version: &ModelVersion,
 ) -> Option<Bytes> {
     let call = distributor.dialect.manifest(model_version);
     let mut earlier_reads: Vec<Bytes> = Vec::new();
@@ -177,7 +177,7 @@
         let status = response.head.status;
         if distributor
             .dialect
-            .read_manifest(status, &response.body)
+            .parse_manifest(status, &response.body)
             .is_err()
         {
             continue;
@@ -191,14 +191,17 @@
 }
 
 /// Manifest from a peer; none if the peer has none yet.
-async fn read_from_peer(peer: &mut Client, model_version: &Named) -> Option<Bytes> {
+async fn read_from_peer(peer: &mut Client, model_version: &ModelVersion) -> Option<Bytes> {
     let peer_request = PeerRequest {
         model_version: model_version.clone(),
         chunk: None,
         mode: Mode::Wait,
     };
     let response = peer
-        .call(&Call::get(peer_request.target()), MANIFEST_TIMEOUT_MILLIS)
+        .call(
+            &ApiRequest::get(peer_request.target()),
+            MANIFEST_TIMEOUT_MILLIS,
+        )
         .await
         .ok()?;
     (response.head.status == 200).then_some(response.body)
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -21,10 +21,10 @@
     cache::{ChunkCache, ChunkSet},
     gingerpier_base::order,
     gingerpier_serving::{
-        bringing::Terms,
-        dialect::{Dialect, Manifest, Named},
         pace::Pace,
+        platform_api::{Manifest, ModelVersion, PlatformApi},
         report::Version,
+        update_schedule::Bound,
     },
     gingerpier_settings::gateway::ZoneRegion,
     gingerpier_weights::{Relays, plan::Replica},
@@ -45,7 +45,7 @@
 /// Chunk cache of a process and the state of its weights transfers.
 pub struct Distributor {
     /// Platform protocol.
-    pub dialect: &'static dyn Dialect,
+    pub dialect: &'static dyn PlatformApi,
     /// Chunks in memory.
     pub chunk_cache: RefCell<ChunkCache>,
     /// Encoded engine and service configuration for loaders; set on gateways once known.
@@ -53,11 +53,11 @@
     /// Engine on this machine; none on gateways.
     pub engine: Option<SocketAddr>,
     /// Version that the local engine serves.
-    pub served: RefCell<Option<Named>>,
+    pub served: RefCell<Option<ModelVersion>>,
     /// Versions that this process fetches or is about to fetch.
-    pub fetching: RefCell<Vec<Named>>,
+    pub fetching: RefCell<Vec<ModelVersion>>,
     /// Version that a peer last requested and that isn't cached here.
-    pub requested: RefCell<Option<Named>>,
+    pub requested: RefCell<Option<ModelVersion>>,
     /// Send rate limit for chunks; set where the link is narrow.
     pub pace: Option<RefCell<Pace>>,
     /// Notified when a chunk or a manifest is cached.
@@ -71,7 +71,7 @@
 impl Distributor {
     /// Distribution state of a loader next to `engine`, behind a narrow link.
     pub fn for_engine(
-        dialect: &'static dyn Dialect,
+        dialect: &'static dyn PlatformApi,
         engine: SocketAddr,
         link_bits_per_second: u64,
     ) -> Self {
@@ -85,7 +85,7 @@
     }
 
     /// Distribution state of a process behind a wide link.
-    pub fn new(dialect: &'static dyn Dialect) -> Self {
+    pub fn new(dialect: &'static dyn PlatformApi) -> Self {
         Self {
             dialect,
             chunk_cache: RefCell::default(),
@@ -102,28 +102,28 @@
     }
 
     /// Manifest of a cached version.
-    pub fn manifest(&self, model_version: &Named) -> Option<Rc<Manifest>> {
+    pub fn manifest(&self, model_version: &ModelVersion) -> Option<Rc<Manifest>> {
         let chunk_cache = self.chunk_cache.borrow();
         let chunk_set = chunk_cache.get(&model_version.model, model_version.version)?;
         Some(chunk_set.manifest.clone())
     }
 
     /// Number of cached chunks of a version.
-    pub fn cached_count(&self, model_version: &Named) -> usize {
+    pub fn cached_count(&self, model_version: &ModelVersion) -> usize {
         let chunk_cache = self.chunk_cache.borrow();
         let chunk_set = chunk_cache.get(&model_version.model, model_version.version);
         chunk_set.map_or(0, ChunkSet::cached_count)
     }
 
     /// Fraction of the chunks of a version that are cached, from 0 to 1.
-    pub fn cached_fraction(&self, model_version: &Named) -> f64 {
+    pub fn cached_fraction(&self, model_version: &ModelVersion) -> f64 {
         let chunk_cache = self.chunk_cache.borrow();
         let chunk_set = chunk_cache.get(&model_version.model, model_version.version);
         chunk_set.map_or(0.0, ChunkSet::cached_fraction)
     }
 
     /// Cancels the fetch `task` of a version that a newer one supersedes.
-    pub fn cancel_fetch<T>(&self, model_version: &Named, task: &JoinHandle<T>) {
+    pub fn cancel_fetch<T>(&self, model_version: &ModelVersion, task: &JoinHandle<T>) {
         tracing::info!(
             version = model_version.version.0,
             "weights fetch canceled; a newer version supersedes it"
@@ -134,7 +134,7 @@
     }
 
     /// True if every chunk of a version is cached.
-    pub fn is_complete(&self, model_version: &Named) -> bool {
+    pub fn is_complete(&self, model_version: &ModelVersion) -> bool {
         let chunk_cache = self.chunk_cache.borrow();
         let chunk_set = chunk_cache.get(&model_version.model, model_version.version);
         chunk_set.is_some_and(ChunkSet::is_complete)
@@ -145,7 +145,7 @@
         let chunk_cache = self.chunk_cache.borrow();
         let of_model = chunk_cache.of_model(model);
         let is_of_model =
-            |other: &Named| other.model == model && other.version > Version::default();
+            |other: &ModelVersion| other.model == model && other.version > Version::default();
         FetchStatus {
             is_fetching: self.fetching.borrow().iter().any(is_of_model),
             chunks: of_model.map(ChunkSet::cached_count).sum(),
@@ -153,7 +153,7 @@
     }
 
     /// Caches a chunk with a verified digest and wakes waiting requests.
-    pub fn insert_chunk(&self, model_version: &Named, chunk: u32, bytes: Bytes) {
+    pub fn insert_chunk(&self, model_version: &ModelVersion, chunk: u32, bytes: Bytes) {
         let mut chunk_cache = self.chunk_cache.borrow_mut();
         if let Some(chunk_set) = chunk_cache.get_mut(&model_version.model, model_version.version) {
             chunk_set.insert(chunk, bytes);
@@ -162,7 +162,7 @@
     }
 
     /// True if the local engine serves exactly `model_version`.
-    pub fn serves(&self, model_version: &Named) -> bool {
+    pub fn serves(&self, model_version: &ModelVersion) -> bool {
         self.served.borrow().as_ref() == Some(model_version)
     }
 }
@@ -180,8 +180,8 @@
 const UPDATE_MARGIN_MILLIS: u64 = 1_400;
 
 /// Limits of a weight update that has to end `within_millis` after the release.
-pub const fn terms(within_millis: u64) -> Terms {
-    Terms {
+pub const fn terms(within_millis: u64) -> Bound {
+    Bound {
         within_millis,
         margin_millis: UPDATE_MARGIN_MILLIS,
     }
--- a/crates/gingerpier_gateway/src/weights/origin_poll.rs
+++ b/crates/gingerpier_gateway/src/weights/origin_poll.rs
@@ -9,9 +9,9 @@
     },
     gingerpier_base::order,
     gingerpier_serving::{
-        dialect::Named,
+        platform_api::ModelVersion,
         report::Version,
-        unnamed::{Search, Seen},
+        unreleased::{OriginPoll, Seen},
     },
     std::{collections::HashMap, rc::Rc},
 };
@@ -22,7 +22,7 @@
 
 /// Requests the origin's newest manifest for each model for which a search is due.
 pub async fn run(state: Rc<State>) {
-    let mut searches: HashMap<String, Search> = HashMap::new();
+    let mut searches: HashMap<String, OriginPoll> = HashMap::new();
     loop {
         clock::pause(POLL_INTERVAL_MILLIS).await;
         let Some(configuration) = state.configuration() else {
@@ -41,7 +41,7 @@
             if !search.is_due(&seen, clock::now()) {
                 continue;
             }
-            let newest = Named {
+            let newest = ModelVersion {
                 model: model.to_owned(),
                 version: Version::default(),
             };
@@ -49,11 +49,11 @@
             let mut client = Client::new(origin.address);
             match manifest::fetch_from_origin(&state.distributor, &mut client, &newest).await {
                 Some(found) => {
-                    search.note_found(clock::now());
+                    search.record_response(clock::now());
                     state.note_found(found);
                 }
                 None => {
-                    search.note_failure(clock::now(), fastrand::u64(..));
+                    search.record_failure(clock::now(), fastrand::u64(..));
                     tracing::warn!(model, origin = %origin.address, "origin returned no valid manifest");
                 }
             }
@@ -66,10 +66,12 @@
     let fetch_status = state.distributor.fetch_status(model);
     Seen {
         is_lacking: state.lacks_weights(service, model),
-        is_known: known.wanted().is_some() || fetch_status.is_fetching,
-        is_whole: known.wanted().is_some_and(|version| {
+        is_known: known.target().is_some() || fetch_status.is_fetching,
+        is_whole: known.target().is_some_and(|version| {
             let model = model.to_owned();
-            state.distributor.is_complete(&Named { model, version })
+            state
+                .distributor
+                .is_complete(&ModelVersion { model, version })
         }),
         chunks: fetch_status.chunks,
         rank: rank(state, model),
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -5,7 +5,7 @@
     crate::{client::Client, clock, figures, store_sharing},
     bytes::Bytes,
     gingerpier_http1::{connection::Connection, head::Request, writer::Message},
-    gingerpier_serving::{dialect::Named, report::Version},
+    gingerpier_serving::{platform_api::ModelVersion, report::Version},
     std::rc::Rc,
     tokio::net::TcpListener,
 };
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerRequest {
     /// Weights version.
-    pub model_version: Named,
+    pub model_version: ModelVersion,
     /// Chunk index; none for the manifest.
     pub chunk: Option<u32>,
     /// How the request is answered.
@@ -66,7 +66,7 @@
 impl PeerRequest {
     /// URL path of the request.
     pub fn target(&self) -> String {
-        let Named { model, version } = &self.model_version;
+        let ModelVersion { model, version } = &self.model_version;
         let chunk = self
             .chunk
             .map_or_else(|| "m".to_owned(), |chunk| chunk.to_string());
@@ -85,7 +85,7 @@
         };
         let mode = Mode::parse(parts.next()?)?;
         Some(Self {
-            model_version: Named { model, version },
+            model_version: ModelVersion { model, version },
             chunk,
             mode,
         })
@@ -187,14 +187,14 @@
     }
     let call = distributor
         .dialect
-        .laid_chunk(&peer_request.model_version.model, chunk);
+        .staged_chunk(&peer_request.model_version.model, chunk);
     let mut client = Client::new(engine);
     let response = client.call(&call, ENGINE_TIMEOUT_MILLIS).await.ok()?;
     (response.head.status == 200).then_some(response.body)
 }
 
 /// True if data that isn't present yet will arrive. Gateways start to fetch what is requested.
-fn will_fetch(distributor: &Distributor, model_version: &Named) -> bool {
+fn will_fetch(distributor: &Distributor, model_version: &ModelVersion) -> bool {
     let fetching = distributor.fetching.borrow();
     if fetching.contains(model_version) {
         return true;
@@ -210,6 +210,6 @@
         return is_newest;
     }
     let served = distributor.served.borrow();
-    let is_newer = |served: &Named| served.version < model_version.version;
+    let is_newer = |served: &ModelVersion| served.version < model_version.version;
     is_newest && served.as_ref().is_none_or(is_newer)
 }
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -4,7 +4,7 @@
     super::{GatewayLocation, RelaySet, fetch, sources::FetchSpec},
     crate::{clock, state::State, weights},
     gingerpier_base::order,
-    gingerpier_serving::{dialect::Named, engine::Engine, report::Version},
+    gingerpier_serving::{engine::Engine, platform_api::ModelVersion, report::Version},
     gingerpier_weights::{
         Holders, Route,
         plan::{ReplicaKey, Source},
@@ -46,8 +46,8 @@
 
 /// A running fetch of a version.
 struct FetchTask {
-    model_version: Named,
-    task: actix_rt::task::JoinHandle<Named>,
+    model_version: ModelVersion,
+    task: actix_rt::task::JoinHandle<ModelVersion>,
 }
 
 /// Fetches released versions that some engine lacks, and versions that loaders request.
@@ -61,7 +61,7 @@
             .named()
             .into_iter()
             .filter(|model_version| is_needed(&state, model_version));
-        let wanted: Vec<Named> = requested.into_iter().chain(released).collect();
+        let wanted: Vec<ModelVersion> = requested.into_iter().chain(released).collect();
         for model_version in wanted {
             let is_started = fetches
                 .iter()
@@ -76,7 +76,7 @@
     }
 }
 
-fn start_fetch(state: &Rc<State>, fetches: &mut Vec<FetchTask>, model_version: Named) {
+fn start_fetch(state: &Rc<State>, fetches: &mut Vec<FetchTask>, model_version: ModelVersion) {
     tracing::info!(
         model = model_version.model,
         version = model_version.version.0,
@@ -85,7 +85,7 @@
     let running = fetches.iter().filter(|fetch_task| {
         fetch_task.model_version.version < model_version.version && !fetch_task.task.is_finished()
     });
-    let mut older: Option<Named> = None;
+    let mut older: Option<ModelVersion> = None;
     for fetch_task in running {
         if state.distributor.cached_fraction(&fetch_task.model_version) < MIN_FRACTION_TO_FINISH {
             state
@@ -115,7 +115,7 @@
 }
 
 /// Waits while chunks of `older` keep arriving, so that two versions don't share the origin's link.
-async fn wait_for_older(state: &State, older: &Named) {
+async fn wait_for_older(state: &State, older: &ModelVersion) {
     let mut last_count = state.distributor.cached_count(older);
     loop {
         let deadline = clock::now().after_millis(OLDER_STALL_MILLIS);
@@ -150,10 +150,10 @@
     }
 }
 
-fn is_obtainable(state: &State, model_version: &Named) -> bool {
+fn is_obtainable(state: &State, model_version: &ModelVersion) -> bool {
     state
         .known_origin(&model_version.model)
-        .may_be_had(model_version.version)
+        .may_be_available(model_version.version)
 }
 
 /// Cancels fetches without a single chunk whose version the origin doesn't have. Such a fetch makes
@@ -172,7 +172,7 @@
 }
 
 /// True if some engine lacks `model_version`.
-fn is_needed(state: &State, model_version: &Named) -> bool {
+fn is_needed(state: &State, model_version: &ModelVersion) -> bool {
     let fleet = state.fleet.borrow();
     let now = clock::now();
     let versions = fleet
@@ -195,7 +195,7 @@
 
 /// Loaders to request chunks of `model_version` from before the origin: those whose engines serve
 /// it, else all that may have some of its chunks. Prefers loaders in the own zone.
-fn holder_addresses(state: &State, model_version: &Named) -> Vec<SocketAddr> {
+fn holder_addresses(state: &State, model_version: &ModelVersion) -> Vec<SocketAddr> {
     let now = clock::now();
     let fleet = state.fleet.borrow();
     let listed: Vec<&Engine> = fleet
@@ -226,7 +226,7 @@
     addresses
 }
 
-fn fetch_spec(state: &State, model_version: &Named) -> FetchSpec {
+fn fetch_spec(state: &State, model_version: &ModelVersion) -> FetchSpec {
     let own = state.settings.peers;
     let relay_set = known_relays(state, model_version.version);
     let is_own = |address: &SocketAddr| *address == own;
--- a/crates/gingerpier_gateway/src/weights/request.rs
+++ b/crates/gingerpier_gateway/src/weights/request.rs
@@ -18,7 +18,7 @@
         connection::Connection,
         head::Response,
     },
-    gingerpier_serving::dialect::{Call, Named},
+    gingerpier_serving::platform_api::{ApiRequest, ModelVersion},
     gingerpier_weights::{fetch::Outcome, plan::Source},
     std::{cell::RefCell, net::SocketAddr, rc::Rc},
     tokio::sync::{Semaphore, SemaphorePermit, mpsc::UnboundedSender},
@@ -67,7 +67,7 @@
     /// Concurrency limits.
     pub sources: Rc<Sources>,
     /// Weights version.
-    pub model_version: Named,
+    pub model_version: ModelVersion,
     /// Connections of this fetch.
     pub pool: Rc<RefCell<Pool<SocketAddr>>>,
     /// Receives the events of this request.
@@ -98,7 +98,7 @@
         let _ = self.sender.send(end);
     }
 
-    fn call(&self, mode: Mode) -> Call {
+    fn call(&self, mode: Mode) -> ApiRequest {
         if self.source == Source::Origin {
             return self
                 .distributor
@@ -110,7 +110,7 @@
             chunk: Some(self.chunk),
             mode,
         };
-        Call::get(peer_request.target())
+        ApiRequest::get(peer_request.target())
     }
 
     /// Regular chunk size of the version.
@@ -224,7 +224,7 @@
         Ok(connection)
     }
 
-    async fn exchange(&self, call: &Call) -> Result<(Response, Bytes), Error> {
+    async fn exchange(&self, call: &ApiRequest) -> Result<(Response, Bytes), Error> {
         let peer = self.address;
         let http_error = |what| Error::Http {
             step: Step::Exchange,
--- a/crates/gingerpier_gateway/src/weights/sources.rs
+++ b/crates/gingerpier_gateway/src/weights/sources.rs
@@ -3,7 +3,7 @@
 use {
     crate::clock,
     gingerpier_base::Instant,
-    gingerpier_serving::{configuration::Origin, dialect::Named},
+    gingerpier_serving::{configuration::Origin, platform_api::ModelVersion},
     gingerpier_weights::{Route, plan::Source},
     std::net::SocketAddr,
     tokio::sync::Semaphore,
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone)]
 pub struct FetchSpec {
     /// Version; 0 for the origin's newest.
-    pub model_version: Named,
+    pub model_version: ModelVersion,
     /// Order of sources for each chunk.
     pub route: Route,
     /// Peer addresses, indexed by replica key.
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -11,7 +11,7 @@
     gingerpier_serving::{
         engine::Engine,
         report::{Born, Report},
-        zones::{Heading, Reception},
+        zones::{Acceptance, Header},
     },
     std::{net::SocketAddr, rc::Rc},
     tokio::net::UdpSocket,
@@ -57,15 +57,15 @@
 /// Applies a digest of another zone and forwards it to the gateways of this zone.
 pub fn receive_digest(state: &State, socket: &UdpSocket, digest: Digest) {
     let now = clock::now();
-    let header = Heading {
+    let header = Header {
         zone: &digest.zone,
         sender: digest.sender,
         stamp: digest.stamp,
         part: digest.part,
         gateway_count: digest.gateway_count,
     };
-    let was_reachable = state.zones.borrow().is_heard(&digest.zone, now);
-    if state.zones.borrow_mut().take(&header, now) == Reception::Old {
+    let was_reachable = state.zones.borrow().has_recent_digest(&digest.zone, now);
+    if state.zones.borrow_mut().accept(&header, now) == Acceptance::Old {
         return;
     }
     if !was_reachable {
@@ -91,9 +91,9 @@
 
 fn apply_digest(state: &State, digest: &Digest, now: Instant) {
     let mut zones = state.zones.borrow_mut();
-    zones.note_member(&digest.zone, digest.sender, now);
+    zones.record_member(&digest.zone, digest.sender, now);
     for gateway in &digest.gateways {
-        zones.note_member(&digest.zone, *gateway, now);
+        zones.record_member(&digest.zone, *gateway, now);
     }
     let mut fleet = state.fleet.borrow_mut();
     for entry in &digest.engines {
--- a/crates/gingerpier_gateway/tests/client.rs
+++ b/crates/gingerpier_gateway/tests/client.rs
@@ -2,7 +2,7 @@
 
 use {
     gingerpier_gateway::{client::Client, error::Error},
-    gingerpier_serving::dialect::Call,
+    gingerpier_serving::platform_api::ApiRequest,
     std::{
         cell::Cell,
         io::{Read, Write},
@@ -44,7 +44,7 @@
 
 fn fetch(address: SocketAddr) -> Result<Vec<u8>, Error> {
     actix_rt::System::new().block_on(async move {
-        let call = Call::get("/everything".to_owned());
+        let call = ApiRequest::get("/everything".to_owned());
         let whole = Client::new(address).call(&call, BEGIN_MILLIS).await?;
         Ok(whole.body.to_vec())
     })
@@ -98,7 +98,7 @@
             counter.fetch_add(1, Ordering::Relaxed);
         }
     });
-    let call = || Call::get("/small".to_owned());
+    let call = || ApiRequest::get("/small".to_owned());
     let result = actix_rt::System::new().block_on(async move {
         let mut client = Client::new(address).with_probe(call());
         client.call(&call(), BEGIN_MILLIS).await
@@ -129,7 +129,7 @@
     });
     actix_rt::System::new().block_on(async move {
         let last_received = Rc::new(Cell::new(None));
-        let call = Call::get("/everything".to_owned());
+        let call = ApiRequest::get("/everything".to_owned());
         let mut client = Client::recording(address, last_received.clone());
         client.call(&call, BEGIN_MILLIS).await.expect("a response");
         last_received.get().is_some()
--- a/crates/gingerpier_serving/src/liveness.rs
+++ b/crates/gingerpier_serving/src/liveness.rs
@@ -13,9 +13,9 @@
 //!
 //! let address = |number: u8| std::net::SocketAddr::from(([10, 0, 0, number], 7700));
 //! let mut one = Liveness::new(address(1), 1, Instant::from_millis(0));
-//! one.note_named(address(2), Instant::from_millis(10));
+//! one.record_mention(address(2), Instant::from_millis(10));
 //! // Nobody has said that it is gone.
-//! assert_eq!(one.living().collect::<Vec<_>>(), [address(2)]);
+//! assert_eq!(one.alive().collect::<Vec<_>>(), [address(2)]);
 //! assert_eq!(one.poll(Instant::from_millis(1_000)), [address(2)]);
 //! ```
 
@@ -65,13 +65,13 @@
 
 /// A membership update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct News {
+pub struct Update {
     /// Gateway.
     pub member: SocketAddr,
     /// Its incarnation.
     pub incarnation: u64,
     /// True if it is dead.
-    pub is_gone: bool,
+    pub is_dead: bool,
 }
 
 /// State of another gateway of the zone.
@@ -89,7 +89,7 @@
 }
 
 impl Member {
-    const fn record_contact(&mut self, now: Instant) {
+    const fn touch(&mut self, now: Instant) {
         self.last_contact = now;
         self.is_reported_dead = false;
     }
@@ -120,7 +120,7 @@
     last_received: Instant,
     /// Offset of the next rotation of extra members.
     extra_offset: usize,
-    /// Members declared dead since the last [`Self::take_ended`].
+    /// Members declared dead since the last [`Self::take_newly_dead`].
     newly_dead: Vec<SocketAddr>,
 }
 
@@ -148,12 +148,12 @@
     }
 
     /// Returns the other gateways that count as alive.
-    pub fn living(&self) -> impl Iterator<Item = SocketAddr> {
-        let living = self
+    pub fn alive(&self) -> impl Iterator<Item = SocketAddr> {
+        let alive = self
             .members
             .iter()
             .filter(|(_, one)| one.dead_since.is_none());
-        living.map(|(member, _)| *member)
+        alive.map(|(member, _)| *member)
     }
 
     /// Returns the number of known gateways, including this one and dead ones.
@@ -162,12 +162,12 @@
     }
 
     /// Records that any message arrived.
-    pub fn note_heard(&mut self, now: Instant) {
+    pub fn record_received(&mut self, now: Instant) {
         self.last_received = self.last_received.max(now);
     }
 
     /// Records a mention of a gateway by a third party, which may be somewhat outdated.
-    pub fn note_named(&mut self, member: SocketAddr, now: Instant) {
+    pub fn record_mention(&mut self, member: SocketAddr, now: Instant) {
         match self.members.get_mut(&member) {
             None => self.add(member, 0, now),
             Some(known) => {
@@ -176,7 +176,7 @@
                 if known.dead_since.is_some_and(is_newer) {
                     self.revive(member, 0, now);
                 } else if known.dead_since.is_none() {
-                    known.record_contact(now);
+                    known.touch(now);
                 }
             }
         }
@@ -184,8 +184,8 @@
 
     /// Records a message from `member`. If it counts as dead in this incarnation, the next message
     /// to it says so, and it returns with a higher one, which other gateways accept too.
-    pub fn note_alive(&mut self, member: SocketAddr, incarnation: u64, now: Instant) {
-        self.note_heard(now);
+    pub fn record_message(&mut self, member: SocketAddr, incarnation: u64, now: Instant) {
+        self.record_received(now);
         if member == self.own {
             return;
         }
@@ -195,21 +195,21 @@
             Some(known) if known.incarnation < incarnation => {
                 self.revive(member, incarnation, now);
             }
-            Some(known) if known.dead_since.is_none() => known.record_contact(now),
+            Some(known) if known.dead_since.is_none() => known.touch(now),
             Some(_) => {}
         }
     }
 
     /// Applies updates from another gateway.
-    pub fn take(&mut self, news: &[News], now: Instant) {
-        for one in news {
+    pub fn apply_updates(&mut self, updates: &[Update], now: Instant) {
+        for one in updates {
             if one.member == self.own {
-                if one.is_gone && one.incarnation >= self.incarnation {
+                if one.is_dead && one.incarnation >= self.incarnation {
                     self.incarnation = one.incarnation + 1;
                 }
                 continue;
             }
-            match (self.members.get(&one.member).copied(), one.is_gone) {
+            match (self.members.get(&one.member).copied(), one.is_dead) {
                 (None, false) => self.add(one.member, one.incarnation, now),
                 (None, true) => {}
                 (Some(known), false) if one.incarnation > known.incarnation => {
@@ -270,7 +270,7 @@
             let is_update = known.dead_since.is_some() || known.incarnation > 0;
             known.incarnation = known.incarnation.max(incarnation);
             known.dead_since = None;
-            known.record_contact(now);
+            known.touch(now);
             known.sends_left = if is_update {
                 sends_left
             } else {
@@ -292,7 +292,7 @@
     }
 
     /// Returns the members that were declared dead since the last call.
-    pub fn take_ended(&mut self) -> Vec<SocketAddr> {
+    pub fn take_newly_dead(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.newly_dead)
     }
 
@@ -369,7 +369,7 @@
         loop {
             if self.unprobed.is_empty() {
                 self.round_count += 1;
-                self.unprobed = self.living().collect();
+                self.unprobed = self.alive().collect();
                 let subject = order::mix(order::hash(&self.own) ^ self.round_count);
                 order::sort_by_score(subject, &mut self.unprobed, order::hash);
             }
@@ -391,22 +391,22 @@
 
     /// Returns the updates for a message to `receiver`: its own death if it counts as dead, then
     /// the least often sent updates.
-    pub fn news_for(&mut self, receiver: SocketAddr) -> Vec<News> {
-        let news = |(member, known): (&SocketAddr, &Member)| News {
+    pub fn updates_for(&mut self, receiver: SocketAddr) -> Vec<Update> {
+        let to_update = |(member, known): (&SocketAddr, &Member)| Update {
             member: *member,
             incarnation: known.incarnation,
-            is_gone: known.dead_since.is_some(),
+            is_dead: known.dead_since.is_some(),
         };
-        let own = News {
+        let own = Update {
             member: self.own,
             incarnation: self.incarnation,
-            is_gone: false,
+            is_dead: false,
         };
         let receiver_update = self.members.get_key_value(&receiver);
         let receiver_update = receiver_update
             .filter(|(_, known)| known.dead_since.is_some())
-            .map(news);
-        let mut updates: Vec<News> = receiver_update.into_iter().chain([own]).collect();
+            .map(to_update);
+        let mut updates: Vec<Update> = receiver_update.into_iter().chain([own]).collect();
         let pending = self
             .members
             .iter_mut()
@@ -418,16 +418,16 @@
             .take(MAX_UPDATES - EXTRA_MEMBERS - updates.len())
         {
             known.sends_left -= 1;
-            updates.push(news((member, known)));
+            updates.push(to_update((member, known)));
         }
-        let extra = self.living_from(self.extra_offset).take(EXTRA_MEMBERS);
-        updates.extend(extra.map(news));
+        let extra = self.alive_from(self.extra_offset).take(EXTRA_MEMBERS);
+        updates.extend(extra.map(to_update));
         self.extra_offset += EXTRA_MEMBERS;
         updates
     }
 
     /// Returns the live members, starting with the given index among all.
-    fn living_from(&self, number: usize) -> impl Iterator<Item = (&SocketAddr, &Member)> {
+    fn alive_from(&self, number: usize) -> impl Iterator<Item = (&SocketAddr, &Member)> {
         let start = number % self.members.len().max(1);
         let members = self.members.iter().cycle().skip(start);
         let all_once = members.take(self.members.len());
--- a/crates/gingerpier_serving/src/asking.rs
+++ b/crates/gingerpier_serving/src/loader_polling.rs
@@ -53,13 +53,13 @@
 
 /// What a loader currently knows.
 #[derive(Debug, Clone, Copy)]
-pub struct Heard<'h> {
+pub struct View<'h> {
     /// Gateways to poll, all with the newest revision; empty if none is reachable.
     pub gateways: &'h [SocketAddr],
     /// Gateways to try if none is reachable; they may be outdated or down.
     pub seeds: &'h [SocketAddr],
     /// Number of gateways in its own zone.
-    pub near_count: usize,
+    pub zone_gateway_count: usize,
     /// State of its configuration.
     pub knowledge: Knowledge,
 }
@@ -96,7 +96,7 @@
 }
 
 impl Backoff {
-    fn note_failure(&mut self, initial_millis: u64, max_millis: u64, now: Instant, draw: u64) {
+    fn record_failure(&mut self, initial_millis: u64, max_millis: u64, now: Instant, draw: u64) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let max_delay_millis = (initial_millis << doublings).min(max_millis);
         self.failures += 1;
@@ -106,7 +106,7 @@
 
 /// Polling schedule of one loader.
 #[derive(Debug, Clone)]
-pub struct Asking {
+pub struct Poller {
     own: SocketAddr,
     zone_count: usize,
     /// When the store may be read for the configuration; none while a gateway is reachable.
@@ -117,10 +117,10 @@
     store_backoff: Backoff,
 }
 
-impl Asking {
+impl Poller {
     /// Creates the schedule of loader `own` at a site with `zone_count` zones, which starts now.
     pub fn new(own: SocketAddr, zone_count: usize, now: Instant) -> Self {
-        let mut asking = Self {
+        let mut poller = Self {
             own,
             zone_count,
             store_allowed_at: None,
@@ -128,20 +128,20 @@
             gateway_backoff: Backoff::default(),
             store_backoff: Backoff::default(),
         };
-        let unreachable = Heard {
+        let unreachable = View {
             gateways: &[],
             seeds: &[],
-            near_count: 0,
+            zone_gateway_count: 0,
             knowledge: Knowledge::Nothing,
         };
-        asking.update_deadlines(&unreachable, now);
-        asking
+        poller.update_deadlines(&unreachable, now);
+        poller
     }
 
     /// Returns the next step.
-    pub fn next(&mut self, heard: &Heard<'_>, now: Instant) -> Step {
-        self.update_deadlines(heard, now);
-        let configuration_step = self.configuration_step(heard, now);
+    pub fn next_step(&mut self, view: &View<'_>, now: Instant) -> Step {
+        self.update_deadlines(view, now);
+        let configuration_step = self.configuration_step(view, now);
         let watch_step = self.watch_step(now);
         match (configuration_step, watch_step) {
             (Step::Wait(_), Step::Weights) => watch_step,
@@ -151,24 +151,24 @@
     }
 
     /// Records that `source` gave no usable response; `draw` is a random number for jitter.
-    pub fn note_failure(&mut self, source: Source, now: Instant, draw: u64) {
+    pub fn record_failure(&mut self, source: Source, now: Instant, draw: u64) {
         if source == Source::Gateway {
             let (initial_millis, max_millis) =
                 (INITIAL_GATEWAY_BACKOFF_MILLIS, MAX_GATEWAY_BACKOFF_MILLIS);
             return self
                 .gateway_backoff
-                .note_failure(initial_millis, max_millis, now, draw);
+                .record_failure(initial_millis, max_millis, now, draw);
         }
         if source == Source::Store {
             self.gateway_backoff.failures = 0;
         }
         let (initial_millis, max_millis) = (INITIAL_STORE_BACKOFF_MILLIS, MAX_STORE_BACKOFF_MILLIS);
         self.store_backoff
-            .note_failure(initial_millis, max_millis, now, draw);
+            .record_failure(initial_millis, max_millis, now, draw);
     }
 
     /// Records a response of `source`.
-    pub fn note_answer(&mut self, source: Source) {
+    pub fn record_response(&mut self, source: Source) {
         match source {
             Source::Gateway => self.gateway_backoff = Backoff::default(),
             Source::Store => {
@@ -179,13 +179,13 @@
         }
     }
 
-    fn update_deadlines(&mut self, heard: &Heard<'_>, now: Instant) {
+    fn update_deadlines(&mut self, view: &View<'_>, now: Instant) {
         let store_start = self.store_start(now);
         let from =
             |lacks: bool, known: Option<Instant>| lacks.then(|| known.unwrap_or(store_start));
-        self.store_allowed_at = from(heard.gateways.is_empty(), self.store_allowed_at);
+        self.store_allowed_at = from(view.gateways.is_empty(), self.store_allowed_at);
         self.watch_allowed_at = from(
-            heard.near_count < MIN_RELEASE_GATEWAYS,
+            view.zone_gateway_count < MIN_RELEASE_GATEWAYS,
             self.watch_allowed_at,
         );
     }
@@ -196,13 +196,13 @@
         now.after_millis(STORE_DELAY_MILLIS + order::hash(&self.own) % spread)
     }
 
-    fn configuration_step(&self, heard: &Heard<'_>, now: Instant) -> Step {
-        if heard.knowledge == Knowledge::Enough {
+    fn configuration_step(&self, view: &View<'_>, now: Instant) -> Step {
+        if view.knowledge == Knowledge::Enough {
             return Step::Wait(now.after_millis(MAX_STORE_BACKOFF_MILLIS));
         }
         if let Some(from) = self.store_allowed_at {
             let store = self.store_step(from, Step::Store, now);
-            return match (store, self.seed_step(heard.seeds, now)) {
+            return match (store, self.seed_step(view.seeds, now)) {
                 (Step::Wait(either), Some(Step::Wait(other))) => Step::Wait(either.min(other)),
                 (Step::Wait(_), Some(seed_step)) => seed_step,
                 (store, _) => store,
@@ -214,7 +214,7 @@
         if !self.gateway_backoff.until.has_passed(now) {
             return Step::Wait(self.gateway_backoff.until);
         }
-        Step::Gateway(self.select(heard.gateways))
+        Step::Gateway(self.select(view.gateways))
     }
 
     /// Returns the step for `seeds` while no gateway is reachable.
--- a/crates/gingerpier_serving/src/mirror.rs
+++ b/crates/gingerpier_serving/src/mirror.rs
@@ -50,7 +50,7 @@
 /// Replica of the store.
 #[derive(Debug, Clone, Default)]
 pub struct Mirror {
-    at: Revision,
+    revision: Revision,
     /// Revision from which on all deletions are known.
     deletions_known_since: Revision,
     items: BTreeMap<String, StoredItem>,
@@ -62,8 +62,8 @@
 
 impl Mirror {
     /// Returns the revision up to which the replica is complete.
-    pub const fn at(&self) -> Revision {
-        self.at
+    pub const fn revision(&self) -> Revision {
+        self.revision
     }
 
     /// Returns the number of effective changes so far, as a version of the content within this
@@ -125,14 +125,14 @@
             .filter(|item| self.apply_item(source, item))
             .collect();
         self.drop_oldest_deletions();
-        self.at = self.at.max(at);
+        self.revision = self.revision.max(at);
         effective
     }
 
     /// Replaces the content by a full copy at revision `at`; returns the effective changes,
     /// deletions included. Ignores a copy older than the replica.
     pub fn replace(&mut self, items: Vec<Item>, at: Revision) -> Changes {
-        if at < self.at {
+        if at < self.revision {
             return Vec::new();
         }
         let missing_keys: Vec<String> = {
--- a/crates/gingerpier_serving/src/outage.rs
+++ b/crates/gingerpier_serving/src/outage.rs
@@ -20,14 +20,14 @@
 //!
 //! let at = Instant::from_millis;
 //! let mut outage = Outage::default();
-//! outage.note_answer(Revision(7), at(1_000));
-//! outage.note_failure(at(1_400));
-//! outage.note_failure(at(8_700));
-//! outage.note_answer(Revision(20), at(9_000));
+//! outage.record_response(Revision(7), at(1_000));
+//! outage.record_failure(at(1_400));
+//! outage.record_failure(at(8_700));
+//! outage.record_response(Revision(20), at(9_000));
 //! let lapsed = Absence::Event(Revision(15));
-//! assert_eq!(outage.lapses_at(lapsed, at(9_100)), Some(at(11_000)));
+//! assert_eq!(outage.excused_until(lapsed, at(9_100)), Some(at(11_000)));
 //! let left = Absence::Event(Revision(21));
-//! assert_eq!(outage.lapses_at(left, at(9_100)), None);
+//! assert_eq!(outage.excused_until(left, at(9_100)), None);
 //! ```
 
 use {crate::mirror::Revision, gingerpier_base::Instant};
@@ -37,11 +37,11 @@
 
 /// Longest pause between a failed request and the next one; bounds the delay with which a recovery
 /// is noticed.
-pub const MOST_PAUSE_MILLIS: u64 = 1_000;
+pub const MAX_RETRY_PAUSE_MILLIS: u64 = 1_000;
 
 /// Milliseconds after a failed request for which missing entries are excused: the longest delay of
 /// detection, plus the time for engines to write their entries.
-const EXCUSE_MILLIS: u64 = MOST_PAUSE_MILLIS + REWRITE_MILLIS;
+const EXCUSE_MILLIS: u64 = MAX_RETRY_PAUSE_MILLIS + REWRITE_MILLIS;
 
 /// Milliseconds without a response of the store that count as an outage; shorter ones let no entry
 /// expire.
@@ -58,7 +58,7 @@
 
 /// A recovery of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Return {
+pub struct Recovery {
     /// Revision of the first response.
     pub revision: Revision,
     /// Time until which expired entries are excused.
@@ -72,22 +72,22 @@
     last_response_at: Option<Instant>,
     /// Time of the last failed request; none since a response.
     failed_at: Option<Instant>,
-    last_return: Option<Return>,
+    last_recovery: Option<Recovery>,
 }
 
 impl Outage {
     /// Records a failed request.
-    pub fn note_failure(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.failed_at = Some(now);
     }
 
     /// Records that the store responded to a peer at `at`.
-    pub fn note_word(&mut self, at: Instant) {
+    pub fn record_peer_response(&mut self, at: Instant) {
         self.last_response_at = self.last_response_at.max(Some(at));
     }
 
     /// Records a response of the store at `revision`.
-    pub fn note_answer(&mut self, revision: Revision, now: Instant) {
+    pub fn record_response(&mut self, revision: Revision, now: Instant) {
         let last_response_at = self.last_response_at.replace(now);
         let (Some(failed_at), Some(last_response_at)) = (self.failed_at.take(), last_response_at)
         else {
@@ -97,16 +97,16 @@
             return;
         }
         let rewritten_by = now.after_millis(REWRITE_MILLIS);
-        let excused_until = failed_at.after_millis(EXCUSE_MILLIS);
-        self.replace_if_later(Return {
+        let excuse_ends_at = failed_at.after_millis(EXCUSE_MILLIS);
+        self.replace_if_later(Recovery {
             revision,
-            until: rewritten_by.min(excused_until),
+            until: rewritten_by.min(excuse_ends_at),
         });
     }
 
     /// Records a recovery that a peer reported, unless the store has responded meanwhile, as then
     /// only that peer was cut off.
-    pub fn note_told(&mut self, reported: Return, now: Instant) {
+    pub fn record_peer_recovery(&mut self, reported: Recovery, now: Instant) {
         let had_outage = |response_at: Instant| now.millis_since(response_at) >= MIN_OUTAGE_MILLIS;
         if self.last_response_at.is_none_or(had_outage) {
             self.replace_if_later(reported);
@@ -114,14 +114,14 @@
     }
 
     /// Returns the last recovery while expired entries are excused.
-    pub fn last_return(&self, now: Instant) -> Option<Return> {
-        self.last_return
+    pub fn last_recovery(&self, now: Instant) -> Option<Recovery> {
+        self.last_recovery
             .filter(|recovery| !recovery.until.has_passed(now))
     }
 
     /// Returns the time until which an engine with a missing entry is kept; none if it was removed.
-    pub fn lapses_at(&self, absence: Absence, now: Instant) -> Option<Instant> {
-        let recovery = self.last_return(now)?;
+    pub fn excused_until(&self, absence: Absence, now: Instant) -> Option<Instant> {
+        let recovery = self.last_recovery(now)?;
         let is_excused = match absence {
             Absence::Event(revision) => revision <= recovery.revision,
             Absence::Listed => true,
@@ -129,12 +129,12 @@
         is_excused.then_some(recovery.until)
     }
 
-    fn replace_if_later(&mut self, recovery: Return) {
+    fn replace_if_later(&mut self, recovery: Recovery) {
         if self
-            .last_return
+            .last_recovery
             .is_none_or(|known| known.until < recovery.until)
         {
-            self.last_return = Some(recovery);
+            self.last_recovery = Some(recovery);
         }
     }
 }
--- a/crates/gingerpier_serving/src/dialect.rs
+++ b/crates/gingerpier_serving/src/platform_api.rs
@@ -1,6 +1,6 @@
 //! Interface to a platform: its header names, requests and parsed responses.
 //!
-//! A platform adapter implements [`Dialect`] and nothing else. It has no state, does no I/O and
+//! A platform adapter implements [`PlatformApi`] and nothing else. It has no state, does no I/O and
 //! makes no decisions; its callers send the requests and pass the responses back.
 
 use {
@@ -15,7 +15,7 @@
 
 /// Names of HTTP header fields, in lower case.
 #[derive(Debug, Clone, Copy)]
-pub struct Names {
+pub struct HeaderNames {
     /// Id of one attempt by a client.
     pub attempt: &'static str,
     /// Milliseconds for which a client waits.
@@ -23,7 +23,7 @@
     /// API key of a client.
     pub key: &'static str,
     /// Name of the client account, sent to engines.
-    pub tenant: &'static str,
+    pub account: &'static str,
     /// Requested model.
     pub model: &'static str,
     /// Prompt tokens, and the maximum tokens of a response.
@@ -37,7 +37,7 @@
     /// Set by an engine that did not run the request.
     pub not_run: &'static str,
     /// Signature of an engine.
-    pub seal: &'static str,
+    pub signature: &'static str,
     /// Version of the weights that generate the response.
     pub version: &'static str,
     /// Priority of a request at an engine; not accepted from clients.
@@ -48,7 +48,7 @@
 
 /// An HTTP request without its connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Call {
+pub struct ApiRequest {
     /// Method.
     pub method: &'static str,
     /// Path and query.
@@ -57,7 +57,7 @@
     pub body: Vec<u8>,
 }
 
-impl Call {
+impl ApiRequest {
     /// Creates a request without a body.
     pub const fn get(target: String) -> Self {
         Self {
@@ -70,13 +70,13 @@
 
 /// Parsed value of a store item.
 #[derive(Debug, Clone)]
-pub enum Fact {
+pub enum Content {
     /// The operators' configuration.
     Configuration(Box<Configuration>),
     /// A listed engine.
     Engine(Box<Record>),
     /// A release of weights.
-    Weights(Named),
+    Weights(ModelVersion),
     /// Zone whose engines get no requests.
     Evacuation(String),
     /// Not relevant here.
@@ -85,9 +85,9 @@
 
 /// A parsed store item.
 #[derive(Debug, Clone)]
-pub struct Reading {
+pub struct ParsedItem {
     /// Its value.
-    pub fact: Fact,
+    pub content: Content,
     /// What is missing or unknown in it.
     pub omissions: Vec<Omission>,
 }
@@ -117,7 +117,7 @@
 
 /// What the key of a store item identifies.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Subject {
+pub enum ItemKind {
     /// The operators' configuration.
     Configuration,
     /// An engine, by its id.
@@ -132,7 +132,7 @@
 
 /// A version of a model's weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Named {
+pub struct ModelVersion {
     /// Model.
     pub model: String,
     /// Version.
@@ -143,22 +143,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Page {
     /// Number of malformed entries that were skipped.
-    pub left_out: u32,
+    pub skipped_count: u32,
     /// Items.
     pub items: Vec<Item>,
     /// True if more pages follow.
     pub has_more: bool,
     /// Revision of the store.
-    pub at: Revision,
+    pub revision: Revision,
 }
 
 /// Response to a watch request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchResponse {
     /// Changes up to the page's revision.
     Changes(Page),
     /// The requested revision is compacted.
-    HistoryGone,
+    Compacted,
 }
 
 /// Chunks of one version, as the origin lists them.
@@ -191,78 +191,78 @@
 impl std::error::Error for Error {}
 
 /// Requests and responses of a platform.
-pub trait Dialect {
+pub trait PlatformApi {
     /// Returns the header names.
-    fn names(&self) -> &'static Names;
+    fn header_names(&self) -> &'static HeaderNames;
 
     /// Returns true if `target` is the path of the readiness check of this process.
-    fn asks_ready(&self, target: &str) -> bool;
+    fn is_readiness_check(&self, target: &str) -> bool;
 
-    /// Request for a page of items after key `after`; with `stale`, an outdated response will do.
-    fn list(&self, scope: Scope, after: &str, stale: bool) -> Call;
+    /// Request for a page of items after key `after`; with `allow_stale`, an outdated response will do.
+    fn list(&self, scope: Scope, after: &str, allow_stale: bool) -> ApiRequest;
 
-    /// Parses the response to [`Dialect::list`].
+    /// Parses the response to [`PlatformApi::list`].
     ///
     /// # Errors
     ///
     /// If the request was rejected or the response is malformed.
-    fn read_list(&self, status: u16, body: &[u8]) -> Result<Page, Error>;
+    fn parse_list(&self, status: u16, body: &[u8]) -> Result<Page, Error>;
 
     /// Request for changes after revision `after`, which the store answers within `wait_millis`.
-    fn watch(&self, scope: Scope, after: Revision, wait_millis: u64) -> Call;
+    fn watch(&self, scope: Scope, after: Revision, wait_millis: u64) -> ApiRequest;
 
-    /// Parses the response to [`Dialect::watch`].
+    /// Parses the response to [`PlatformApi::watch`].
     ///
     /// # Errors
     ///
     /// If the request was rejected or the response is malformed.
-    fn read_watch(&self, status: u16, body: &[u8]) -> Result<Watched, Error>;
+    fn parse_watch(&self, status: u16, body: &[u8]) -> Result<WatchResponse, Error>;
 
     /// Returns what the key of an item identifies.
-    fn subject(&self, key: &str) -> Subject;
+    fn item_kind(&self, key: &str) -> ItemKind;
 
     /// Parses the value of an item. Missing or unknown parts are replaced and listed as omissions.
     ///
     /// # Errors
     ///
     /// If the value is malformed or unusable without the missing parts.
-    fn fact(&self, key: &str, value: &[u8]) -> Result<Reading, Error>;
+    fn parse_item(&self, key: &str, value: &[u8]) -> Result<ParsedItem, Error>;
 
     /// Request for the state of an engine.
-    fn report(&self) -> Call;
+    fn report(&self) -> ApiRequest;
 
-    /// Parses the response to [`Dialect::report`].
+    /// Parses the response to [`PlatformApi::report`].
     ///
     /// # Errors
     ///
     /// If the request was rejected or the response is malformed.
-    fn read_report(&self, status: u16, body: &[u8]) -> Result<Report, Error>;
+    fn parse_report(&self, status: u16, body: &[u8]) -> Result<Report, Error>;
 
     /// Request that orders an engine to load its staged weights, unless its number of orders so far
     /// differs from `sequence`.
-    fn start(&self, named: &Named, sequence: u64) -> Call;
+    fn start(&self, model_version: &ModelVersion, sequence: u64) -> ApiRequest;
 
-    /// Parses the response to [`Dialect::start`].
-    fn read_start(&self, status: u16) -> Started;
+    /// Parses the response to [`PlatformApi::start`].
+    fn parse_start(&self, status: u16) -> StartOutcome;
 
     /// Request for the manifest of a version; of the newest if the version is 0.
-    fn manifest(&self, named: &Named) -> Call;
+    fn manifest(&self, model_version: &ModelVersion) -> ApiRequest;
 
-    /// Parses the response to [`Dialect::manifest`].
+    /// Parses the response to [`PlatformApi::manifest`].
     ///
     /// # Errors
     ///
     /// If the request was rejected or the response is malformed.
-    fn read_manifest(&self, status: u16, body: &[u8]) -> Result<Manifest, Error>;
+    fn parse_manifest(&self, status: u16, body: &[u8]) -> Result<Manifest, Error>;
 
     /// Request for a chunk from the origin.
-    fn chunk(&self, named: &Named, chunk: u32) -> Call;
+    fn chunk(&self, model_version: &ModelVersion, chunk: u32) -> ApiRequest;
 
     /// Request that stages a chunk at an engine; the caller adds the body.
-    fn lay_chunk(&self, model: &str, chunk: u32) -> Call;
+    fn stage_chunk(&self, model: &str, chunk: u32) -> ApiRequest;
 
     /// Request that reads a staged chunk back from an engine.
-    fn laid_chunk(&self, model: &str, chunk: u32) -> Call;
+    fn staged_chunk(&self, model: &str, chunk: u32) -> ApiRequest;
 }
 
 /// Items covered by a list or watch request.
@@ -280,7 +280,7 @@
 
 /// Response of an engine to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Started {
+pub enum StartOutcome {
     /// Loading has begun.
     Begun,
     /// The engine already holds the weights.
--- a/crates/gingerpier_serving/src/naming.rs
+++ b/crates/gingerpier_serving/src/release.rs
@@ -4,7 +4,7 @@
 //! release is noticed later, over links that may be congested and between polls. So the bound
 //! counts from the earliest possible time of the release: the last time at which the local copy was
 //! known to be complete ([`Freshness`]). A response only proves what the store held when the
-//! request was sent. A peer adds the age of its own copy ([`Told`]).
+//! request was sent. A peer adds the age of its own copy ([`PeerAge`]).
 //!
 //! Each source has its own lower bound of the release time, and the latest of them counts. A source
 //! that reports repeatedly counts with its earliest bound, as that report had the least delay.
@@ -29,7 +29,7 @@
 
 /// Age of the data that a peer returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct PeerAge {
     /// Milliseconds for which the peer held the request before it responded.
     pub held_millis: u64,
     /// Milliseconds, at the time of the response, since the peer's copy was known to be complete.
@@ -41,16 +41,16 @@
 pub struct Freshness(Option<Instant>);
 
 impl Freshness {
-    /// Records that a response of the store to a request sent at `asked` was applied.
-    pub fn note_answer(&mut self, asked: Instant) {
-        self.0 = self.0.max(Some(asked));
+    /// Records that a response of the store to a request sent at `requested_at` was applied.
+    pub fn record_response(&mut self, requested_at: Instant) {
+        self.0 = self.0.max(Some(requested_at));
     }
 
-    /// Records that a peer's response, received at `now` to a request sent at `asked`, was applied.
-    pub fn note_told(&mut self, asked: Instant, told: Told, now: Instant) {
-        let answered = asked.after_millis(told.held_millis).min(now);
-        let fresh = answered.as_millis().saturating_sub(told.age_millis);
-        self.note_answer(Instant::from_millis(fresh));
+    /// Records that a peer's response, received at `now` to a request sent at `requested_at`, was applied.
+    pub fn record_peer_response(&mut self, requested_at: Instant, peer_age: PeerAge, now: Instant) {
+        let responded_at = requested_at.after_millis(peer_age.held_millis).min(now);
+        let fresh = responded_at.as_millis().saturating_sub(peer_age.age_millis);
+        self.record_response(Instant::from_millis(fresh));
     }
 
     /// Returns the milliseconds since the copy was known to be complete; none if it never was.
@@ -60,7 +60,7 @@
 
     /// Returns the earliest possible release time of weights discovered at `now`, limited by how
     /// far back the bound of `within_millis` counts.
-    pub fn earliest(self, within_millis: u64, now: Instant) -> Instant {
+    pub fn earliest_release(self, within_millis: u64, now: Instant) -> Instant {
         let max_backdate = MAX_BACKDATE_MILLIS.min(within_millis / BACKDATE_BOUND_DIVISOR);
         let earliest_counted = Instant::from_millis(now.as_millis().saturating_sub(max_backdate));
         self.0
@@ -70,7 +70,7 @@
     /// Returns when older weights expire if the release may precede `running_since`, the start of
     /// this process or its resumption after a suspension; none if it was later. An existing copy
     /// proves nothing, as it may be empty or stale.
-    pub fn due_after_break(self, running_since: Instant, within_millis: u64) -> Option<Instant> {
+    pub fn restart_expiry(self, running_since: Instant, within_millis: u64) -> Option<Instant> {
         let grace_until = running_since.after_millis(RESTART_GRACE_MILLIS);
         match self.0 {
             Some(fresh) if fresh >= running_since => None,
@@ -82,23 +82,23 @@
 
 /// Released weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Naming {
+pub struct Release {
     /// Version.
     pub version: Version,
     /// Time of discovery.
-    pub heard: Instant,
+    pub discovered_at: Instant,
     /// Earliest possible release time, from which the bound counts.
-    pub at: Instant,
+    pub released_at: Instant,
     /// When older weights expire, if the release may precede the start of this process.
-    pub due_after_break: Option<Instant>,
+    pub restart_expiry: Option<Instant>,
 }
 
-impl Naming {
+impl Release {
     /// Returns the time from which on older weights may start no request, for a bound of
     /// `within_millis`.
-    pub fn due_at(&self, within_millis: u64) -> Instant {
-        self.due_after_break
-            .unwrap_or_else(|| self.at.after_millis(serving_millis(within_millis)))
+    pub fn expires_at(&self, within_millis: u64) -> Instant {
+        self.restart_expiry
+            .unwrap_or_else(|| self.released_at.after_millis(serving_millis(within_millis)))
     }
 }
 
@@ -109,97 +109,98 @@
 
 /// Process that reported a release, by any unique number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Teller(pub u64);
+pub struct Reporter(pub u64);
 
 /// This process, by its own responses from the store.
-pub const OWN: Teller = Teller(0);
+pub const LOCAL: Reporter = Reporter(0);
 
 /// Sources kept per release.
-const MAX_SOURCES: usize = 64;
+const MAX_REPORTERS: usize = 64;
 
 /// A release, with the earliest possible release time by each source.
 #[derive(Debug, Clone)]
 struct Entry {
-    naming: Naming,
-    earliest_by_source: Vec<(Teller, Instant)>,
+    release: Release,
+    earliest_by_reporter: Vec<(Reporter, Instant)>,
 }
 
 impl Entry {
-    fn record_source(&mut self, teller: Teller, earliest: Instant) {
-        let place = self
-            .earliest_by_source
+    fn record_reporter(&mut self, reporter: Reporter, earliest_release: Instant) {
+        let index = self
+            .earliest_by_reporter
             .iter()
-            .position(|(known, _)| *known == teller);
-        match place {
-            Some(place) => {
-                self.earliest_by_source[place].1 = earliest.min(self.earliest_by_source[place].1)
+            .position(|(known, _)| *known == reporter);
+        match index {
+            Some(index) => {
+                self.earliest_by_reporter[index].1 =
+                    earliest_release.min(self.earliest_by_reporter[index].1)
             }
-            None if self.earliest_by_source.len() < MAX_SOURCES => {
-                self.earliest_by_source.push((teller, earliest))
+            None if self.earliest_by_reporter.len() < MAX_REPORTERS => {
+                self.earliest_by_reporter.push((reporter, earliest_release))
             }
             None => return,
         }
         let latest = self
-            .earliest_by_source
+            .earliest_by_reporter
             .iter()
-            .map(|(_, earliest)| *earliest)
+            .map(|(_, earliest_release)| *earliest_release)
             .max();
-        let heard = self.naming.heard;
-        self.naming.at = latest.map_or(heard, |latest| latest.min(heard));
+        let discovered_at = self.release.discovered_at;
+        self.release.released_at = latest.map_or(discovered_at, |latest| latest.min(discovered_at));
     }
 }
 
 /// Released weights of one model, by rising version.
 #[derive(Debug, Clone, Default)]
-pub struct Namings(Vec<Entry>);
+pub struct Releases(Vec<Entry>);
 
-impl Namings {
-    /// Records a report by `teller` at `now` that `version` was released at `earliest` or later;
+impl Releases {
+    /// Records a report by `reporter` at `now` that `version` was released at `earliest_release` or later;
     /// returns true if it is newer than all known versions.
-    pub fn note(
+    pub fn record(
         &mut self,
         version: Version,
-        teller: Teller,
-        earliest: Instant,
+        reporter: Reporter,
+        earliest_release: Instant,
         now: Instant,
     ) -> bool {
         let mut known = self.0.iter_mut();
-        if let Some(known) = known.find(|known| known.naming.version == version) {
-            known.record_source(teller, earliest);
+        if let Some(known) = known.find(|known| known.release.version == version) {
+            known.record_reporter(reporter, earliest_release);
             return false;
         }
         if self.newest().is_some_and(|newest| newest.version > version) {
             return false;
         }
         let mut entry = Entry {
-            naming: Naming {
+            release: Release {
                 version,
-                heard: now,
-                at: now,
-                due_after_break: None,
+                discovered_at: now,
+                released_at: now,
+                restart_expiry: None,
             },
-            earliest_by_source: Vec::new(),
+            earliest_by_reporter: Vec::new(),
         };
-        entry.record_source(teller, earliest);
+        entry.record_reporter(reporter, earliest_release);
         self.0.push(entry);
         true
     }
 
     /// Sets when weights older than the newest release expire, if it may precede the start of this
     /// process.
-    pub fn note_break(&mut self, due: Option<Instant>) {
+    pub fn set_restart_expiry(&mut self, due: Option<Instant>) {
         if let Some(newest) = self.0.last_mut() {
-            newest.naming.due_after_break = due;
+            newest.release.restart_expiry = due;
         }
     }
 
     /// Returns the newest release.
-    pub fn newest(&self) -> Option<&Naming> {
-        self.0.last().map(|entry| &entry.naming)
+    pub fn newest(&self) -> Option<&Release> {
+        self.0.last().map(|entry| &entry.release)
     }
 
     /// Returns all releases, oldest first.
-    pub fn iter(&self) -> impl Iterator<Item = &Naming> {
-        self.0.iter().map(|entry| &entry.naming)
+    pub fn iter(&self) -> impl Iterator<Item = &Release> {
+        self.0.iter().map(|entry| &entry.release)
     }
 }
--- a/crates/gingerpier_serving/src/suspects.rs
+++ b/crates/gingerpier_serving/src/suspects.rs
@@ -9,29 +9,29 @@
 //! use {
 //!     gingerpier_base::Instant,
 //!     gingerpier_serving::{
-//!         mark::Mark,
+//!         fingerprint::Fingerprint,
 //!         report::Version,
-//!         suspects::{End, Incarnation, Standing, Suspects},
+//!         suspects::{Crash, Incarnation, Status, Suspects},
 //!     },
 //! };
 //!
-//! let mark = Mark([7; 16]);
+//! let fingerprint = Fingerprint([7; 16]);
 //! let mut suspects = Suspects::default();
 //! for engine in 0..4 {
 //!     let at = Instant::from_millis(engine * 500);
 //!     let engine = Incarnation(engine);
-//!     suspects.note_end(End { mark, account: 0, engine, version: Version(1), at }, 12);
+//!     suspects.record_crash(Crash { fingerprint, account: 0, engine, version: Version(1), at }, 12);
 //! }
-//! assert_eq!(suspects.judge(Instant::from_millis(3_000)), [mark]);
-//! assert_eq!(suspects.standing(mark), Standing::Held);
-//! suspects.note_cleared(mark, Version(1));
-//! assert_eq!(suspects.standing(mark), Standing::Clear);
+//! assert_eq!(suspects.evaluate(Instant::from_millis(3_000)), [fingerprint]);
+//! assert_eq!(suspects.status(fingerprint), Status::Held);
+//! suspects.record_refutation(fingerprint, Version(1));
+//! assert_eq!(suspects.status(fingerprint), Status::Clear);
 //! ```
 
 use {
     crate::{
+        fingerprint::Fingerprint,
         fleet::Record,
-        mark::Mark,
         report::{Born, Version},
     },
     gingerpier_base::{Instant, order},
@@ -64,7 +64,7 @@
 
 /// Age from which on a crash is attributed: reports from all gateways with requests at that engine
 /// have arrived by then.
-pub const JUDGED_AFTER_MILLIS: u64 = 15;
+pub const CRASH_SETTLE_MILLIS: u64 = 15;
 
 /// Crashes kept to detect common failures.
 const MAX_RECENT_CRASHES: usize = 256;
@@ -96,9 +96,9 @@
 
 /// A crash of an engine while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct End {
+pub struct Crash {
     /// Fingerprint of the request.
-    pub mark: Mark,
+    pub fingerprint: Fingerprint,
     /// Hash of the client account of the request.
     pub account: u32,
     /// Engine that crashed.
@@ -111,7 +111,7 @@
 
 /// Effect of a reported crash or response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Noted {
+pub enum ReportOutcome {
     /// Already known, or dropped.
     Known,
     /// Recorded as new.
@@ -122,11 +122,11 @@
 
 /// Whether and how a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// No unrefuted crashes.
     Clear,
     /// One unrefuted crash: sent as a trial, preferably to an engine without another trial.
-    Noted,
+    ReportOutcome,
     /// Several unrefuted crashes, but fewer than hold it back: sent as a trial, only to an engine
     /// without another trial.
     Suspect,
@@ -140,56 +140,58 @@
     /// Hash of the client account.
     pub account: u32,
     /// Crashes while the request ran.
-    pub ends: Vec<End>,
+    pub crashes: Vec<Crash>,
     /// Newest version of weights that gave a complete response.
-    pub cleared: Option<Version>,
+    pub refuted_up_to: Option<Version>,
     /// Engines whose crashes an operator dismissed.
-    pub pardoned: BTreeSet<Incarnation>,
+    pub dismissed: BTreeSet<Incarnation>,
 }
 
 impl Case {
     const fn new(account: u32) -> Self {
         Self {
             account,
-            ends: Vec::new(),
-            cleared: None,
-            pardoned: BTreeSet::new(),
+            crashes: Vec::new(),
+            refuted_up_to: None,
+            dismissed: BTreeSet::new(),
         }
     }
 
     /// Returns the crashes that neither a response nor an operator refutes.
-    fn unrefuted_crashes(&self) -> impl Iterator<Item = &End> {
-        self.ends.iter().filter(|end| {
-            let is_refuted = self.cleared.is_some_and(|cleared| cleared >= end.version);
-            !is_refuted && !self.pardoned.contains(&end.engine)
+    fn unrefuted_crashes(&self) -> impl Iterator<Item = &Crash> {
+        self.crashes.iter().filter(|crash| {
+            let is_refuted = self
+                .refuted_up_to
+                .is_some_and(|refuted_up_to| refuted_up_to >= crash.version);
+            !is_refuted && !self.dismissed.contains(&crash.engine)
         })
     }
 
     fn last_crash_at(&self) -> Instant {
-        let times = self.ends.iter().map(|end| end.at);
+        let times = self.crashes.iter().map(|crash| crash.at);
         times.max().unwrap_or_default()
     }
 
     /// Hashes the content independently of the order in which it was learnt.
-    fn digest(&self, mark: Mark) -> u64 {
-        let ends = self.ends.iter().map(|end| order::mix(end.engine.0));
-        let pardoned = self.pardoned.iter().map(|one| order::mix(!one.0));
-        let all = ends.chain(pardoned).fold(0, |all, one| all ^ one);
-        let cleared = self.cleared.map_or(0, |version| version.0 + 1);
-        order::mix(all ^ order::hash(&mark) ^ order::mix(cleared))
+    fn digest(&self, fingerprint: Fingerprint) -> u64 {
+        let crashes = self.crashes.iter().map(|crash| order::mix(crash.engine.0));
+        let dismissed = self.dismissed.iter().map(|one| order::mix(!one.0));
+        let all = crashes.chain(dismissed).fold(0, |all, one| all ^ one);
+        let refuted_up_to = self.refuted_up_to.map_or(0, |version| version.0 + 1);
+        order::mix(all ^ order::hash(&fingerprint) ^ order::mix(refuted_up_to))
     }
 }
 
 /// Requests that recently received a complete response, evicted in insertion order.
 #[derive(Debug, Clone, Default)]
 struct Succeeded {
-    versions: HashMap<Mark, Version>,
-    order: VecDeque<Mark>,
+    versions: HashMap<Fingerprint, Version>,
+    order: VecDeque<Fingerprint>,
 }
 
 impl Succeeded {
-    fn note(&mut self, mark: Mark, version: Version) {
-        if let Some(known) = self.versions.get_mut(&mark) {
+    fn record(&mut self, fingerprint: Fingerprint, version: Version) {
+        if let Some(known) = self.versions.get_mut(&fingerprint) {
             *known = version.max(*known);
             return;
         }
@@ -198,8 +200,8 @@
         {
             self.versions.remove(&oldest);
         }
-        self.order.push_back(mark);
-        self.versions.insert(mark, version);
+        self.order.push_back(fingerprint);
+        self.versions.insert(fingerprint, version);
     }
 }
 
@@ -207,12 +209,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
     /// Ordered, so that evaluation is deterministic.
-    cases: BTreeMap<Mark, Case>,
+    cases: BTreeMap<Fingerprint, Case>,
     succeeded: Succeeded,
     /// Recent engine crashes, newest first.
     recent_crashes: VecDeque<EngineCrash>,
     /// Requests held back as of the last evaluation.
-    held: BTreeSet<Mark>,
+    held: BTreeSet<Fingerprint>,
     /// Time of the next evaluation; none if nothing is pending.
     next_evaluation: Option<Instant>,
 }
@@ -227,108 +229,113 @@
 impl Suspects {
     /// Records that an engine of a service with `fleet_size` engines crashed while it ran a
     /// request.
-    pub fn note_end(&mut self, end: End, fleet_size: usize) -> Noted {
+    pub fn record_crash(&mut self, crash: Crash, fleet_size: usize) -> ReportOutcome {
         if !self
             .recent_crashes
             .iter()
-            .any(|known| known.engine == end.engine)
+            .any(|known| known.engine == crash.engine)
         {
             self.recent_crashes.truncate(MAX_RECENT_CRASHES - 1);
             self.recent_crashes.push_front(EngineCrash {
-                engine: end.engine,
-                at: end.at,
+                engine: crash.engine,
+                at: crash.at,
                 fleet_size,
             });
         }
-        let succeeded = self.succeeded.versions.get(&end.mark).copied();
-        let case = self.cases.get(&end.mark);
-        let cleared = succeeded.max(case.and_then(|case| case.cleared));
-        if let Some(version) = cleared.filter(|version| *version >= end.version) {
-            return Noted::Refuted(version);
+        let succeeded = self.succeeded.versions.get(&crash.fingerprint).copied();
+        let case = self.cases.get(&crash.fingerprint);
+        let refuted_up_to = succeeded.max(case.and_then(|case| case.refuted_up_to));
+        if let Some(version) = refuted_up_to.filter(|version| *version >= crash.version) {
+            return ReportOutcome::Refuted(version);
         }
-        if case.is_some_and(|case| case.ends.iter().any(|known| known.engine == end.engine)) {
-            return Noted::Known;
+        if case.is_some_and(|case| {
+            case.crashes
+                .iter()
+                .any(|known| known.engine == crash.engine)
+        }) {
+            return ReportOutcome::Known;
         }
-        if case.is_none() && !self.make_room(end.account) {
-            return Noted::Known;
+        if case.is_none() && !self.make_room(crash.account) {
+            return ReportOutcome::Known;
         }
-        let case = self.cases.entry(end.mark);
-        let case = case.or_insert_with(|| Case::new(end.account));
-        if case.ends.len() >= MAX_CRASHES_PER_REQUEST {
-            return Noted::Known;
+        let case = self.cases.entry(crash.fingerprint);
+        let case = case.or_insert_with(|| Case::new(crash.account));
+        if case.crashes.len() >= MAX_CRASHES_PER_REQUEST {
+            return ReportOutcome::Known;
         }
-        case.ends.push(end);
+        case.crashes.push(crash);
         // A later crash must not postpone the evaluation of this one.
-        let settles_at = end.at.after_millis(JUDGED_AFTER_MILLIS);
+        let settles_at = crash.at.after_millis(CRASH_SETTLE_MILLIS);
         self.next_evaluation = Some(
             self.next_evaluation
                 .map_or(settles_at, |known| known.min(settles_at)),
         );
-        Noted::News
+        ReportOutcome::News
     }
 
-    /// Returns when [`Self::judge`] is due; none if nothing is pending.
-    pub const fn judges_at(&self) -> Option<Instant> {
+    /// Returns when [`Self::evaluate`] is due; none if nothing is pending.
+    pub const fn evaluates_at(&self) -> Option<Instant> {
         self.next_evaluation
     }
 
     /// Recomputes which requests are held back and returns the new ones. Only crashes that are at
-    /// least [`JUDGED_AFTER_MILLIS`] old count.
+    /// least [`CRASH_SETTLE_MILLIS`] old count.
     ///
     /// A crash is caused by one request, so once a request is held back, its crashes no longer
     /// count against the others that ran there. Requests are visited by most crashes without
     /// company, then most attributed crashes, then least company.
-    pub fn judge(&mut self, now: Instant) -> Vec<Mark> {
-        let ends = self.cases.values().flat_map(|case| &case.ends);
-        let settles_at = ends.map(|end| end.at.after_millis(JUDGED_AFTER_MILLIS));
+    pub fn evaluate(&mut self, now: Instant) -> Vec<Fingerprint> {
+        let crashes = self.cases.values().flat_map(|case| &case.crashes);
+        let settles_at = crashes.map(|crash| crash.at.after_millis(CRASH_SETTLE_MILLIS));
         self.next_evaluation = settles_at.filter(|at| !at.has_passed(now)).min();
-        let is_settled = |end: &&End| end.at.after_millis(JUDGED_AFTER_MILLIS).has_passed(now);
+        let is_settled =
+            |crash: &&Crash| crash.at.after_millis(CRASH_SETTLE_MILLIS).has_passed(now);
         let may_be_held = |case: &&Case| {
             case.unrefuted_crashes()
                 .filter(is_settled)
                 .nth(HOLD_MIN_CRASHES - 1)
                 .is_some()
         };
-        let mut requests_by_engine: BTreeMap<Incarnation, Vec<Mark>> = BTreeMap::new();
-        for (mark, case) in &self.cases {
+        let mut requests_by_engine: BTreeMap<Incarnation, Vec<Fingerprint>> = BTreeMap::new();
+        for (fingerprint, case) in &self.cases {
             if case
                 .unrefuted_crashes()
                 .nth(SUSPECT_MIN_CRASHES - 1)
                 .is_some()
             {
-                for end in case.unrefuted_crashes() {
+                for crash in case.unrefuted_crashes() {
                     requests_by_engine
-                        .entry(end.engine)
+                        .entry(crash.engine)
                         .or_default()
-                        .push(*mark);
+                        .push(*fingerprint);
                 }
             }
         }
-        let co_running_count = |end: &End| {
+        let co_running_count = |crash: &Crash| {
             requests_by_engine
-                .get(&end.engine)
-                .map_or(0, |marks| marks.len() - 1)
+                .get(&crash.engine)
+                .map_or(0, |fingerprints| fingerprints.len() - 1)
         };
         let no_engines = BTreeSet::new();
         let mut candidates = Vec::new();
-        for (mark, case) in self.cases.iter().filter(|(_, case)| may_be_held(case)) {
+        for (fingerprint, case) in self.cases.iter().filter(|(_, case)| may_be_held(case)) {
             let sole_count = case
                 .unrefuted_crashes()
-                .filter(|end| co_running_count(end) == 0)
+                .filter(|crash| co_running_count(crash) == 0)
                 .count();
             let attributed_crash_count = self.attributed_crash_count(case, &no_engines, now);
             let co_running_total: usize = case.unrefuted_crashes().map(co_running_count).sum();
             candidates.push((
                 Reverse((sole_count, attributed_crash_count)),
                 co_running_total,
-                *mark,
+                *fingerprint,
             ));
         }
         candidates.sort_unstable();
         let mut explained_engines = BTreeSet::new();
         let mut held = BTreeSet::new();
-        for (.., mark) in candidates {
-            let case = &self.cases[&mark];
+        for (.., fingerprint) in candidates {
+            let case = &self.cases[&fingerprint];
             let has_enough_crashes =
                 self.attributed_crash_count(case, &explained_engines, now) >= HOLD_MIN_CRASHES;
             if has_enough_crashes
@@ -337,8 +344,8 @@
                     .nth(UNCONDITIONAL_HOLD_MIN_CRASHES - 1)
                     .is_some()
             {
-                explained_engines.extend(case.unrefuted_crashes().map(|end| end.engine));
-                held.insert(mark);
+                explained_engines.extend(case.unrefuted_crashes().map(|crash| crash.engine));
+                held.insert(fingerprint);
             }
         }
         let new = held.difference(&self.held).copied().collect();
@@ -363,13 +370,13 @@
     /// Evicts the case with the fewest, oldest crashes among those that `is_evictable` accepts and
     /// that are not held back.
     fn drop_oldest(&mut self, is_evictable: impl Fn(&Case) -> bool) -> bool {
-        let evictable = self
-            .cases
-            .iter()
-            .filter(|(mark, case)| is_evictable(case) && self.standing(**mark) != Standing::Held);
-        let oldest =
-            evictable.min_by_key(|(mark, case)| (case.ends.len(), case.last_crash_at(), **mark));
-        let Some(oldest) = oldest.map(|(mark, _)| *mark) else {
+        let evictable = self.cases.iter().filter(|(fingerprint, case)| {
+            is_evictable(case) && self.status(**fingerprint) != Status::Held
+        });
+        let oldest = evictable.min_by_key(|(fingerprint, case)| {
+            (case.crashes.len(), case.last_crash_at(), **fingerprint)
+        });
+        let Some(oldest) = oldest.map(|(fingerprint, _)| *fingerprint) else {
             return false;
         };
         self.cases.remove(&oldest);
@@ -378,77 +385,83 @@
 
     /// Records that this gateway received a complete response from weights of `version`; returns
     /// true if that newly refutes a case.
-    pub fn note_finished(&mut self, mark: Mark, version: Version) -> bool {
-        self.succeeded.note(mark, version);
-        self.note_cleared(mark, version)
+    pub fn record_completion(&mut self, fingerprint: Fingerprint, version: Version) -> bool {
+        self.succeeded.record(fingerprint, version);
+        self.record_refutation(fingerprint, version)
     }
 
     /// Records a complete response that another gateway reported; returns true if that newly
     /// refutes a case.
-    pub fn note_cleared(&mut self, mark: Mark, version: Version) -> bool {
-        let Some(case) = self.cases.get_mut(&mark) else {
+    pub fn record_refutation(&mut self, fingerprint: Fingerprint, version: Version) -> bool {
+        let Some(case) = self.cases.get_mut(&fingerprint) else {
             return false;
         };
-        let is_new = case.cleared < Some(version);
-        case.cleared = case.cleared.max(Some(version));
+        let is_new = case.refuted_up_to < Some(version);
+        case.refuted_up_to = case.refuted_up_to.max(Some(version));
         if is_new {
-            self.schedule_evaluation(mark);
+            self.schedule_evaluation(fingerprint);
         }
         is_new
     }
 
     /// Dismisses all crashes of a request by operator command; returns the engines concerned.
-    pub fn pardon(&mut self, mark: Mark) -> Vec<Incarnation> {
-        let Some(case) = self.cases.get_mut(&mark) else {
+    pub fn dismiss(&mut self, fingerprint: Fingerprint) -> Vec<Incarnation> {
+        let Some(case) = self.cases.get_mut(&fingerprint) else {
             return Vec::new();
         };
-        let engines: Vec<Incarnation> = case.ends.iter().map(|end| end.engine).collect();
-        case.pardoned.extend(&engines);
-        self.schedule_evaluation(mark);
+        let engines: Vec<Incarnation> = case.crashes.iter().map(|crash| crash.engine).collect();
+        case.dismissed.extend(&engines);
+        self.schedule_evaluation(fingerprint);
         engines
     }
 
     /// Records that an operator dismissed the crash of `engine` for a request; returns true if that
     /// is new.
-    pub fn note_pardoned(&mut self, mark: Mark, account: u32, engine: Incarnation) -> bool {
-        if !self.cases.contains_key(&mark) && !self.make_room(account) {
+    pub fn record_dismissal(
+        &mut self,
+        fingerprint: Fingerprint,
+        account: u32,
+        engine: Incarnation,
+    ) -> bool {
+        if !self.cases.contains_key(&fingerprint) && !self.make_room(account) {
             return false;
         }
-        let case = self.cases.entry(mark);
+        let case = self.cases.entry(fingerprint);
         let case = case.or_insert_with(|| Case::new(account));
-        let is_new = case.pardoned.len() < MAX_CRASHES_PER_REQUEST && case.pardoned.insert(engine);
+        let is_new =
+            case.dismissed.len() < MAX_CRASHES_PER_REQUEST && case.dismissed.insert(engine);
         if is_new {
-            self.schedule_evaluation(mark);
+            self.schedule_evaluation(fingerprint);
         }
         is_new
     }
 
     /// Schedules an evaluation, as crashes that no longer count here may now be attributed to other
     /// requests.
-    fn schedule_evaluation(&mut self, mark: Mark) {
-        let case = self.cases.get(&mark);
+    fn schedule_evaluation(&mut self, fingerprint: Fingerprint) {
+        let case = self.cases.get(&fingerprint);
         if case.is_none_or(|case| case.unrefuted_crashes().nth(HOLD_MIN_CRASHES - 1).is_none()) {
-            self.held.remove(&mark);
+            self.held.remove(&fingerprint);
         }
         self.next_evaluation = Some(Instant::default());
     }
 
     /// Returns the status of a request.
-    pub fn standing(&self, mark: Mark) -> Standing {
+    pub fn status(&self, fingerprint: Fingerprint) -> Status {
         // Fast path for nearly all requests.
-        let Some(case) = self.cases.get(&mark) else {
-            return Standing::Clear;
+        let Some(case) = self.cases.get(&fingerprint) else {
+            return Status::Clear;
         };
-        if self.held.contains(&mark) {
-            return Standing::Held;
+        if self.held.contains(&fingerprint) {
+            return Status::Held;
         }
         let separate = case
             .unrefuted_crashes()
-            .filter(|end| !self.is_common_failure(end));
+            .filter(|crash| !self.is_common_failure(crash));
         match separate.take(SUSPECT_MIN_CRASHES).count() {
-            0 => Standing::Clear,
-            ends if ends < SUSPECT_MIN_CRASHES => Standing::Noted,
-            _ => Standing::Suspect,
+            0 => Status::Clear,
+            crashes if crashes < SUSPECT_MIN_CRASHES => Status::ReportOutcome,
+            _ => Status::Suspect,
         }
     }
 
@@ -460,19 +473,21 @@
         explained_engines: &BTreeSet<Incarnation>,
         now: Instant,
     ) -> usize {
-        let is_settled = |end: &&End| end.at.after_millis(JUDGED_AFTER_MILLIS).has_passed(now);
-        let ends = case.unrefuted_crashes().filter(is_settled);
-        let ends = ends
-            .filter(|end| !explained_engines.contains(&end.engine) && !self.is_common_failure(end));
-        ends.count()
+        let is_settled =
+            |crash: &&Crash| crash.at.after_millis(CRASH_SETTLE_MILLIS).has_passed(now);
+        let crashes = case.unrefuted_crashes().filter(is_settled);
+        let crashes = crashes.filter(|crash| {
+            !explained_engines.contains(&crash.engine) && !self.is_common_failure(crash)
+        });
+        crashes.count()
     }
 
-    fn is_common_failure(&self, end: &End) -> bool {
+    fn is_common_failure(&self, crash: &Crash) -> bool {
         let is_simultaneous = |crash: &&EngineCrash| {
             crash
                 .at
-                .millis_since(end.at)
-                .max(end.at.millis_since(crash.at))
+                .millis_since(crash.at)
+                .max(crash.at.millis_since(crash.at))
                 <= COMMON_FAILURE_WINDOW_MILLIS
         };
         let simultaneous = self.recent_crashes.iter().filter(is_simultaneous);
@@ -484,29 +499,35 @@
 
     /// Returns the cases that gateways replicate to each other: suspects, and those that an
     /// operator dismissed.
-    pub fn grave(&self) -> impl Iterator<Item = (Mark, &Case)> {
-        let all = self.cases.iter().map(|(mark, case)| (*mark, case));
+    pub fn replicated_cases(&self) -> impl Iterator<Item = (Fingerprint, &Case)> {
+        let all = self
+            .cases
+            .iter()
+            .map(|(fingerprint, case)| (*fingerprint, case));
         all.filter(|(_, case)| {
-            let standing = case.unrefuted_crashes().count();
-            standing >= SUSPECT_MIN_CRASHES || !case.pardoned.is_empty()
+            let status = case.unrefuted_crashes().count();
+            status >= SUSPECT_MIN_CRASHES || !case.dismissed.is_empty()
         })
     }
 
     /// Hashes all replicated cases; equal at gateways with equal cases, 0 for none.
     pub fn digest(&self) -> u64 {
-        self.grave()
-            .fold(0, |all, (mark, case)| all ^ case.digest(mark))
+        self.replicated_cases()
+            .fold(0, |all, (fingerprint, case)| all ^ case.digest(fingerprint))
     }
 
     /// Returns the case of a request.
-    pub fn case(&self, mark: Mark) -> Option<&Case> {
-        self.cases.get(&mark)
+    pub fn case(&self, fingerprint: Fingerprint) -> Option<&Case> {
+        self.cases.get(&fingerprint)
     }
 
     /// Returns the requests that are held back.
-    pub fn held(&self) -> impl Iterator<Item = (Mark, &Case)> {
-        let all = self.cases.iter().map(|(mark, case)| (*mark, case));
-        all.filter(|(mark, _)| self.held.contains(mark))
+    pub fn held(&self) -> impl Iterator<Item = (Fingerprint, &Case)> {
+        let all = self
+            .cases
+            .iter()
+            .map(|(fingerprint, case)| (*fingerprint, case));
+        all.filter(|(fingerprint, _)| self.held.contains(fingerprint))
     }
 
     /// Returns the number of cases.
--- a/crates/gingerpier_serving/src/trials.rs
+++ b/crates/gingerpier_serving/src/trials.rs
@@ -1,19 +1,19 @@
 //! Coordinates isolated runs ("trials") of suspect requests across gateways.
 //!
-//! A gateway announces a trial to the others and waits [`SETTLE_MILLIS`] for a conflicting
+//! A gateway announces a trial to the others and waits [`CONFLICT_WINDOW_MILLIS`] for a conflicting
 //! announcement: a trial of the same request, or one at the same engine. Of two that start at once,
 //! the lower in order continues. A crash during a trial is therefore attributable to that request,
 //! or to one without a case.
 
 use {
-    crate::{mark::Mark, suspects::Incarnation},
+    crate::{fingerprint::Fingerprint, suspects::Incarnation},
     gingerpier_base::Instant,
     std::{collections::HashMap, net::SocketAddr},
 };
 
 /// Milliseconds between the announcement of a trial and its run, longer than a message takes
 /// between regions.
-pub const SETTLE_MILLIS: u64 = 20;
+pub const CONFLICT_WINDOW_MILLIS: u64 = 20;
 
 /// Milliseconds after which a trial without an end message counts as over, as its gateway may have
 /// died.
@@ -26,9 +26,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Trial {
     /// Gateway that runs the trial.
-    pub by: SocketAddr,
+    pub gateway: SocketAddr,
     /// Fingerprint of the request.
-    pub mark: Mark,
+    pub fingerprint: Fingerprint,
     /// Engine reserved for the trial; none if the request shares one.
     pub engine: Option<Incarnation>,
 }
@@ -36,7 +36,7 @@
 /// Trials in progress, as far as this gateway knows.
 #[derive(Debug, Clone, Default)]
 pub struct Trials {
-    announced: HashMap<(Mark, SocketAddr), AnnouncedTrial>,
+    announced: HashMap<(Fingerprint, SocketAddr), AnnouncedTrial>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -53,7 +53,7 @@
     /// Returns true once a conflicting announcement would have arrived; from then on this trial
     /// takes precedence over new ones.
     const fn has_settled(&self, now: Instant) -> bool {
-        now.millis_since(self.announced_at) >= SETTLE_MILLIS
+        now.millis_since(self.announced_at) >= CONFLICT_WINDOW_MILLIS
     }
 }
 
@@ -65,8 +65,9 @@
     }
 
     /// Returns true if a trial of the request is in progress.
-    pub fn is_on_trial(&self, mark: Mark, now: Instant) -> bool {
-        self.in_progress(now).any(|one| one.trial.mark == mark)
+    pub fn is_on_trial(&self, fingerprint: Fingerprint, now: Instant) -> bool {
+        self.in_progress(now)
+            .any(|one| one.trial.fingerprint == fingerprint)
     }
 
     /// Returns the engines that are reserved for trials.
@@ -75,10 +76,10 @@
     }
 
     /// Returns true if `trial`, which was announced, takes precedence over all conflicting ones.
-    pub fn goes_on(&self, trial: &Trial, now: Instant) -> bool {
+    pub fn may_continue(&self, trial: &Trial, now: Instant) -> bool {
         let conflicts = |one: &&AnnouncedTrial| {
             let shares_engine = trial.engine.is_some() && one.trial.engine == trial.engine;
-            one.trial.mark == trial.mark || shares_engine
+            one.trial.fingerprint == trial.fingerprint || shares_engine
         };
         let conflicting = self.in_progress(now).filter(conflicts);
         let mut conflicting = conflicting.filter(|one| one.trial != *trial);
@@ -86,7 +87,7 @@
     }
 
     /// Records the start of a trial.
-    pub fn note_begun(&mut self, trial: Trial, now: Instant) {
+    pub fn record_start(&mut self, trial: Trial, now: Instant) {
         if self.announced.len() >= MAX_TRIALS {
             self.announced.retain(|_, one| !one.has_timed_out(now));
         }
@@ -95,12 +96,13 @@
                 trial,
                 announced_at: now,
             };
-            self.announced.insert((trial.mark, trial.by), announced);
+            self.announced
+                .insert((trial.fingerprint, trial.gateway), announced);
         }
     }
 
-    /// Records the end of the trial of a request at gateway `by`.
-    pub fn note_over(&mut self, mark: Mark, by: SocketAddr) {
-        self.announced.remove(&(mark, by));
+    /// Records the end of the trial of a request at gateway `gateway`.
+    pub fn record_end(&mut self, fingerprint: Fingerprint, gateway: SocketAddr) {
+        self.announced.remove(&(fingerprint, gateway));
     }
 }
--- a/crates/gingerpier_serving/src/unnamed.rs
+++ b/crates/gingerpier_serving/src/unreleased.rs
@@ -2,8 +2,8 @@
 //!
 //! Engines may hold weights from their start that were never released. If all processes that know
 //! the version lose it at once, waiting for a peer never ends, and only the origin still knows what
-//! it has. So gateways ask the origin ([`Search`]), by rank within their zone, and pass its version
-//! on to loaders. A loader that gets none asks the origin itself after a while ([`Patience`]).
+//! it has. So gateways ask the origin ([`OriginPoll`]), by rank within their zone, and pass its version
+//! on to loaders. A loader that gets none asks the origin itself after a while ([`OriginFallback`]).
 //!
 //! Each wait ends by timeout alone and never depends on a message, so no two processes can wait for
 //! each other.
@@ -24,13 +24,13 @@
 impl Known {
     /// Returns the version that engines should hold; none if no version is known. The origin's
     /// version takes precedence over those of engines, which may no longer be available.
-    pub fn wanted(self) -> Option<Version> {
+    pub fn target(self) -> Option<Version> {
         self.named.or(self.found).or(self.held)
     }
 
     /// Returns true unless `version` is known to be unavailable: nothing is released, and the
     /// origin reported another version.
-    pub fn may_be_had(self, version: Version) -> bool {
+    pub fn may_be_available(self, version: Version) -> bool {
         self.named.is_some() || self.found.is_none_or(|found| found == version)
     }
 }
@@ -72,7 +72,7 @@
 
 /// Schedule of one gateway's requests to the origin.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Search {
+pub struct OriginPoll {
     /// Time of the next request; none if no engine lacks weights.
     due_at: Option<Instant>,
     was_known: bool,
@@ -80,7 +80,7 @@
     failures: u32,
 }
 
-impl Search {
+impl OriginPoll {
     /// Returns true if the origin should be asked now.
     pub fn is_due(&mut self, seen: &Seen, now: Instant) -> bool {
         if !seen.is_lacking || seen.is_whole {
@@ -102,14 +102,14 @@
     }
 
     /// Records a failed request to the origin; `draw` is a random number for jitter.
-    pub fn note_failure(&mut self, now: Instant, draw: u64) {
+    pub fn record_failure(&mut self, now: Instant, draw: u64) {
         let retry_millis = INITIAL_RETRY_MILLIS << self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
         self.due_at = Some(now.after_millis(retry_millis / 2 + draw % (retry_millis / 2)));
     }
 
     /// Records a response of the origin.
-    pub fn note_found(&mut self, now: Instant) {
+    pub fn record_response(&mut self, now: Instant) {
         self.failures = 0;
         self.due_at = Some(now.after_millis(NO_PROGRESS_MILLIS));
     }
@@ -126,13 +126,13 @@
 
 /// How long a loader whose engine lacks weights waits before it asks the origin itself.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Patience {
+pub struct OriginFallback {
     waiting_since: Option<Instant>,
 }
 
-impl Patience {
+impl OriginFallback {
     /// Ends the wait, as a version is known or none is needed.
-    pub const fn end(&mut self) {
+    pub const fn reset(&mut self) {
         self.waiting_since = None;
     }
 
--- a/crates/gingerpier_serving/src/bringing.rs
+++ b/crates/gingerpier_serving/src/update_schedule.rs
@@ -13,7 +13,7 @@
 
 /// A released version with its release time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NamedAt {
+pub struct ReleaseTime {
     /// Version.
     pub version: Version,
     /// Release time, from which the bound counts.
@@ -22,7 +22,7 @@
 
 /// Time limits of a weight update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct Bound {
     /// Milliseconds from the release within which every engine must be ordered.
     pub within_millis: u64,
     /// Milliseconds of the bound that are reserved for the update itself.
@@ -39,7 +39,7 @@
 
 /// How long an engine may serve its current weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Tenure {
+pub enum Validity {
     /// It has no weights.
     Empty,
     /// No newer version is released.
@@ -52,28 +52,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Notice {
     /// Time before which nothing is changed at the engine.
-    pub quiet_until: Instant,
+    pub unchanged_until: Instant,
     /// Earliest time of the order.
     pub order_at: Instant,
 }
 
 /// Returns the notice period of an order announced at `now`. There is none for an engine that
 /// receives no requests any more: if weights are late everywhere, all other engines are idle too.
-pub fn notice(tenure: Tenure, now: Instant) -> Notice {
-    let due = match tenure {
-        Tenure::Empty => now,
-        Tenure::Unbounded => now.after_millis(ORDER_DELAY_MILLIS),
-        Tenure::Until(due) => due.max(now),
+pub fn notice(validity: Validity, now: Instant) -> Notice {
+    let expires_at = match validity {
+        Validity::Empty => now,
+        Validity::Unbounded => now.after_millis(ORDER_DELAY_MILLIS),
+        Validity::Until(expires_at) => expires_at.max(now),
     };
     Notice {
-        quiet_until: now.after_millis(FIRST_CHANGE_DELAY_MILLIS).min(due),
-        order_at: now.after_millis(ORDER_DELAY_MILLIS).min(due),
+        unchanged_until: now.after_millis(FIRST_CHANGE_DELAY_MILLIS).min(expires_at),
+        order_at: now.after_millis(ORDER_DELAY_MILLIS).min(expires_at),
     }
 }
 
 /// Position of an engine in the order of updates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
     /// Number of engines ahead of it.
     pub rank: u32,
     /// Number of engines.
@@ -82,13 +82,13 @@
 
 /// Returns the position of `own` among `members`, equal at all processes with the same members. It
 /// doesn't depend on the version, so an engine that takes two updates has a pause between them.
-pub fn place(own: u64, members: &[u64]) -> Place {
+pub fn position(own: u64, members: &[u64]) -> Position {
     let score = |member: u64| (order::mix(member), member);
     let ahead = members
         .iter()
         .filter(|member| score(**member) > score(own))
         .count();
-    Place {
+    Position {
         rank: ahead as u32,
         count: (members.len() as u32).max(1),
     }
@@ -96,27 +96,29 @@
 
 /// Returns when an engine that holds version `held` is ordered to load newer weights.
 ///
-/// The oldest of the `named` versions that it lacks determines the time, as it expires first.
+/// The oldest of the `releases` versions that it lacks determines the time, as it expires first.
 /// Orders are spread evenly from `complete_at`, when suitable weights were complete at the engine,
 /// to the last moment that keeps the bound. The engine then loads the newest version that is
 /// complete.
 pub fn order_at(
     held: Option<Version>,
-    named: &[NamedAt],
+    releases: &[ReleaseTime],
     complete_at: Instant,
-    place: Place,
-    terms: &Terms,
+    position: Position,
+    bound: &Bound,
 ) -> Instant {
-    let missing = named.iter().filter(|named| Some(named.version) > held);
+    let missing = releases
+        .iter()
+        .filter(|releases| Some(releases.version) > held);
     let Some(oldest_at) = missing
-        .map(|named| named.at)
+        .map(|releases| releases.at)
         .min()
         .filter(|_| held.is_some())
     else {
         return complete_at;
     };
-    let latest_at = oldest_at.after_millis(terms.within_millis.saturating_sub(terms.margin_millis));
+    let latest_at = oldest_at.after_millis(bound.within_millis.saturating_sub(bound.margin_millis));
     let spread_millis = latest_at.millis_since(complete_at);
-    let delay_millis = spread_millis * u64::from(place.rank) / u64::from(place.count.max(1));
+    let delay_millis = spread_millis * u64::from(position.rank) / u64::from(position.count.max(1));
     complete_at.after_millis(delay_millis)
 }
