--- a/crates/gingerpier_serving/src/watching.rs
+++ b/crates/gingerpier_serving/src/watching.rs
@@ -16,14 +16,14 @@
 //!
 //! ```
 //! use gingerpier_base::Instant;
-//! use gingerpier_serving::watching::{Step, Watching};
+//! use gingerpier_serving::watching::{Step, WatcherSelection};
 //!
 //! let own = "10.0.0.1:8000".parse().expect("an address");
 //! let now = Instant::from_millis(1_000);
-//! let mut watching = Watching::new(own, now);
+//! let mut watching = WatcherSelection::new(own, now);
 //! // Nobody else is known yet, but may be soon.
-//! assert!(matches!(watching.next(&[], false, now), Step::Wait(_)));
-//! assert_eq!(watching.next(&[], false, now.after_millis(2_000)), Step::Store);
+//! assert!(matches!(watching.next_step(&[], false, now), Step::Wait(_)));
+//! assert_eq!(watching.next_step(&[], false, now.after_millis(2_000)), Step::Store);
 //! ```
 
 use {
@@ -128,7 +128,7 @@
 
 /// Selects the source of one member's next read.
 #[derive(Debug, Clone)]
-pub struct Watching {
+pub struct WatcherSelection {
     own: SocketAddr,
     started: Instant,
     /// Known neighbours, and the time at which the last new one appeared.
@@ -144,7 +144,7 @@
     may_replace_watcher: bool,
 }
 
-impl Watching {
+impl WatcherSelection {
     /// Creates the state of member `own`, which starts now.
     pub const fn new(own: SocketAddr, now: Instant) -> Self {
         Self {
@@ -162,7 +162,7 @@
 
     /// Returns the next read; `members` are the known members of the zone, and `has_copy` tells
     /// whether this one has a copy of the store.
-    pub fn next(&mut self, members: &[SocketAddr], has_copy: bool, now: Instant) -> Step {
+    pub fn next_step(&mut self, members: &[SocketAddr], has_copy: bool, now: Instant) -> Step {
         self.skipped.retain(|one| !one.until.has_passed(now));
         self.update_known_members(members, now);
         if !has_copy && !self.is_settled(now) {
@@ -198,7 +198,7 @@
     }
 
     /// Records that `member` is to be skipped.
-    pub fn note_failure(&mut self, member: SocketAddr, failure: Failure, now: Instant) {
+    pub fn record_failure(&mut self, member: SocketAddr, failure: Failure, now: Instant) {
         let millis = match failure {
             Failure::Silent => UNRESPONSIVE_SKIP_MILLIS,
             Failure::Old => STALE_SKIP_MILLIS,
@@ -212,13 +212,13 @@
     }
 
     /// Records that `member` had no first copy.
-    pub fn note_without_copy(&mut self, member: SocketAddr) {
+    pub fn record_missing_copy(&mut self, member: SocketAddr) {
         self.members_without_copy.push(member);
     }
 
     /// Records the result of [`Step::Probe`]: whether the store is ahead, and the duration of the
     /// probe.
-    pub fn note_probe(&mut self, is_ahead: bool, millis: u64, now: Instant) {
+    pub fn record_probe(&mut self, is_ahead: bool, millis: u64, now: Instant) {
         // A slow path to the store makes copies stale, but members unresponsive no more likely;
         // retrying those would only waste their timeouts.
         let is_stale = |one: &SkippedMember| one.failure == Failure::Old;
@@ -235,7 +235,7 @@
     }
 
     /// Returns the accepted milliseconds since the last response of the store to `member`.
-    pub fn most_age_millis(&self, member: SocketAddr, now: Instant) -> u64 {
+    pub fn max_age_millis(&self, member: SocketAddr, now: Instant) -> u64 {
         if !self.any_age_until.has_passed(now) {
             return u64::MAX;
         }
--- a/crates/gingerpier_serving/src/zones.rs
+++ b/crates/gingerpier_serving/src/zones.rs
@@ -11,7 +11,7 @@
 //! There is no election: if views differ, a digest is sent twice or by another gateway. Each sender
 //! rotates over the receivers, so one live sender and one live receiver suffice. If no digest of a
 //! zone arrives, some of its engines are polled directly, and more of them over time
-//! ([`Exchange::sample`]); the first gateways of a zone are found in the same way.
+//! ([`Exchange::sample_size`]); the first gateways of a zone are found in the same way.
 //!
 //! Digests lag behind direct reports, so with few gateways in all, each polls the loaders of all
 //! zones directly and no digests are sent.
@@ -75,7 +75,7 @@
 
 /// Header of one part of a digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Heading<'a> {
+pub struct Header<'a> {
     /// Zone that the digest describes.
     pub zone: &'a str,
     /// Gateway that made the digest.
@@ -90,7 +90,7 @@
 
 /// Whether a part of a digest is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reception {
+pub enum Acceptance {
     /// Newer than all known parts.
     News,
     /// Repeated, out of order, or of the own zone.
@@ -126,17 +126,17 @@
 }
 
 impl Zone {
-    fn living(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
-        let is_living = move |at: &Instant| now.millis_since(*at) < MEMBER_TIMEOUT_MILLIS;
-        let living = self.members.iter().filter(move |(_, at)| is_living(at));
-        living.map(|(member, _)| *member)
+    fn alive(&self, now: Instant) -> impl Iterator<Item = SocketAddr> {
+        let is_alive = move |at: &Instant| now.millis_since(*at) < MEMBER_TIMEOUT_MILLIS;
+        let alive = self.members.iter().filter(move |(_, at)| is_alive(at));
+        alive.map(|(member, _)| *member)
     }
 
     /// Returns the gateways that were alive at the last mention of any of them, so that none is
     /// dropped while the zone is silent.
     fn alive_at_last_mention(&self) -> impl Iterator<Item = SocketAddr> {
         let last_mention_at = self.last_mention_at.unwrap_or_default();
-        self.living(last_mention_at)
+        self.alive(last_mention_at)
     }
 
     fn count(&self) -> u32 {
@@ -206,10 +206,10 @@
     }
 
     /// Records a mention of a gateway.
-    pub fn note_member(&mut self, zone: &str, member: SocketAddr, now: Instant) {
+    pub fn record_member(&mut self, zone: &str, member: SocketAddr, now: Instant) {
         if zone == self.own_zone {
             self.first_mention_at = self.first_mention_at.or(Some(now));
-            self.liveness.note_named(member, now);
+            self.liveness.record_mention(member, now);
         } else if let Some(zone) = self.zone_mut(zone) {
             zone.members.insert(member, now);
             zone.last_mention_at = Some(now);
@@ -222,7 +222,7 @@
     }
 
     /// Requests that the next digest be sent early.
-    pub const fn note_news(&mut self) {
+    pub const fn request_early_digest(&mut self) {
         self.has_urgent_changes = true;
     }
 
@@ -234,12 +234,12 @@
     }
 
     /// Returns the other live gateways with their zones.
-    pub fn living(&self, now: Instant) -> impl Iterator<Item = (&str, SocketAddr)> {
-        let local = self.liveness.living();
+    pub fn alive(&self, now: Instant) -> impl Iterator<Item = (&str, SocketAddr)> {
+        let local = self.liveness.alive();
         let local = local.map(|member| (self.own_zone.as_str(), member));
         let zones = self.zones.iter();
         let remote = zones.flat_map(move |(name, zone)| {
-            let members = zone.living(now);
+            let members = zone.alive(now);
             members.map(move |member| (name.as_str(), member))
         });
         local.chain(remote)
@@ -247,7 +247,7 @@
 
     /// Returns the other live gateways of the own zone.
     pub fn neighbours(&self) -> Vec<SocketAddr> {
-        self.liveness.living().collect()
+        self.liveness.alive().collect()
     }
 
     /// Returns the number of gateways in `zone`, including this one.
@@ -284,7 +284,7 @@
         }
         let score = |member: &SocketAddr| order::mix(subject ^ order::hash(member));
         let own = score(&self.own);
-        let others = self.living(now).filter(|(_, member)| *member != self.own);
+        let others = self.alive(now).filter(|(_, member)| *member != self.own);
         let ahead = others.filter(|(_, member)| score(member) > own);
         ahead.take(count).count() < count
     }
@@ -307,7 +307,7 @@
         if self.is_direct(now) {
             return Vec::new();
         }
-        let local = self.liveness.living().chain([self.own]);
+        let local = self.liveness.alive().chain([self.own]);
         let senders = top_ranked(local, DIGEST_SENDERS);
         let Some(rank) = senders.iter().position(|sender| *sender == self.own) else {
             return Vec::new();
@@ -326,29 +326,29 @@
     }
 
     /// Checks the header of a received part and records it.
-    pub fn take(&mut self, heading: &Heading<'_>, now: Instant) -> Reception {
-        if heading.zone == self.own_zone {
-            return Reception::Old;
+    pub fn accept(&mut self, header: &Header<'_>, now: Instant) -> Acceptance {
+        if header.zone == self.own_zone {
+            return Acceptance::Old;
         }
-        let Some(zone) = self.zone_mut(heading.zone) else {
-            return Reception::Old;
+        let Some(zone) = self.zone_mut(header.zone) else {
+            return Acceptance::Old;
         };
         let stream = DigestStream {
-            sender: heading.sender,
-            part: heading.part,
+            sender: header.sender,
+            part: header.part,
         };
         let is_stale = zone.newest_digests.get(&stream).is_some_and(|newest| {
-            heading.stamp <= newest.stamp && now.millis_since(newest.at) < SENDER_RESTART_MILLIS
+            header.stamp <= newest.stamp && now.millis_since(newest.at) < SENDER_RESTART_MILLIS
         });
         if is_stale {
-            return Reception::Old;
+            return Acceptance::Old;
         }
-        let stamp = heading.stamp;
+        let stamp = header.stamp;
         zone.newest_digests
             .insert(stream, NewestDigest { stamp, at: now });
         zone.last_digest_at = Some(now);
-        zone.reported_count = heading.gateway_count;
-        Reception::News
+        zone.reported_count = header.gateway_count;
+        Acceptance::News
     }
 
     /// Returns true if there are few enough gateways for each to poll the loaders of all zones.
@@ -361,7 +361,7 @@
     }
 
     /// Returns true if a digest of `zone` arrived recently.
-    pub fn is_heard(&self, zone: &str, now: Instant) -> bool {
+    pub fn has_recent_digest(&self, zone: &str, now: Instant) -> bool {
         let last_digest_at = self.zones.get(zone).and_then(|zone| zone.last_digest_at);
         last_digest_at
             .is_some_and(|last_digest_at| now.millis_since(last_digest_at) < ZONE_TIMEOUT_MILLIS)
@@ -369,11 +369,11 @@
 
     /// Returns the number of engines of another `zone` that this gateway polls directly: all with
     /// few gateways, none while digests of the zone arrive.
-    pub fn sample(&self, zone: &str, now: Instant) -> usize {
+    pub fn sample_size(&self, zone: &str, now: Instant) -> usize {
         if self.is_direct(now) {
             return usize::MAX;
         }
-        if self.is_heard(zone, now) {
+        if self.has_recent_digest(zone, now) {
             return 0;
         }
         let last_digest_at = self.zones.get(zone).and_then(|zone| zone.last_digest_at);
@@ -396,7 +396,7 @@
         let own_key = rank_key(&self.own);
         let ahead = self
             .liveness
-            .living()
+            .alive()
             .filter(|member| rank_key(member) < own_key);
         ahead.take(count).count() < count
     }
--- a/crates/gingerpier_serving/tests/asking.rs
+++ b/crates/gingerpier_serving/tests/asking.rs
@@ -2,7 +2,9 @@
 
 use {
     gingerpier_base::Instant,
-    gingerpier_serving::asking::{Asking, Heard, Knowledge, MIN_RELEASE_GATEWAYS, Source, Step},
+    gingerpier_serving::loader_polling::{
+        Knowledge, MIN_RELEASE_GATEWAYS, Poller, Source, Step, View,
+    },
     proptest::prelude::*,
     std::net::SocketAddr,
 };
@@ -32,21 +34,21 @@
     (0..count).map(gateway).collect()
 }
 
-fn heard(gateways: &[SocketAddr], knowledge: Knowledge) -> Heard<'_> {
-    Heard {
+fn view(gateways: &[SocketAddr], knowledge: Knowledge) -> View<'_> {
+    View {
         gateways,
         seeds: &[],
-        near_count: gateways.len(),
+        zone_gateway_count: gateways.len(),
         knowledge,
     }
 }
 
-/// Returns when `asking` first reads the store without a gateway, in milliseconds.
-fn first_read_millis(mut asking: Asking) -> u64 {
-    let unreachable = heard(&[], Knowledge::Nothing);
-    match asking.next(&unreachable, at(0)) {
+/// Returns when `poller` first reads the store without a gateway, in milliseconds.
+fn first_read_millis(mut poller: Poller) -> u64 {
+    let unreachable = view(&[], Knowledge::Nothing);
+    match poller.next_step(&unreachable, at(0)) {
         Step::Wait(until) => {
-            assert_eq!(asking.next(&unreachable, until), Step::Store);
+            assert_eq!(poller.next_step(&unreachable, until), Step::Store);
             until.as_millis()
         }
         other => panic!("{other:?} at the start"),
@@ -64,10 +66,10 @@
 }
 
 /// Creates the loaders of a site, which start at the same time.
-fn site(zones: usize, zone_loaders: usize, offset: usize) -> Vec<Asking> {
+fn site(zones: usize, zone_loaders: usize, offset: usize) -> Vec<Poller> {
     let zone = |zone| (0..zone_loaders).map(move |number| loader(zone, offset + number));
     let all = (0..zones).flat_map(zone);
-    all.map(|own| Asking::new(own, zones, at(0))).collect()
+    all.map(|own| Poller::new(own, zones, at(0))).collect()
 }
 
 #[test]
@@ -87,14 +89,14 @@
 #[test]
 fn a_loader_watches_releases_only_with_few_gateways() {
     for count in 0..6 {
-        let mut asking = Asking::new(loader(1, 1), 3, at(0));
+        let mut poller = Poller::new(loader(1, 1), 3, at(0));
         let zone_gateways = gateways(count);
-        let heard = heard(&zone_gateways, Knowledge::Enough);
-        let step_at_10_s = |asking: &mut Asking| asking.next(&heard, at(10_000));
-        assert!(matches!(asking.next(&heard, at(0)), Step::Wait(_)));
+        let view = view(&zone_gateways, Knowledge::Enough);
+        let step_at_10_s = |poller: &mut Poller| poller.next_step(&view, at(10_000));
+        assert!(matches!(poller.next_step(&view, at(0)), Step::Wait(_)));
         match count < MIN_RELEASE_GATEWAYS {
-            true => assert_eq!(step_at_10_s(&mut asking), Step::Weights),
-            false => assert!(matches!(step_at_10_s(&mut asking), Step::Wait(_))),
+            true => assert_eq!(step_at_10_s(&mut poller), Step::Weights),
+            false => assert!(matches!(step_at_10_s(&mut poller), Step::Wait(_))),
         }
     }
 }
@@ -103,9 +105,9 @@
 fn outdated_loaders_poll_at_once_and_spread_over_the_gateways() {
     let zone_gateways = gateways(3);
     let mut polled: Vec<SocketAddr> = Vec::new();
-    for mut asking in site(1, ZONE_LOADERS, 1) {
-        asking.next(&heard(&zone_gateways, Knowledge::Enough), at(0));
-        match asking.next(&heard(&zone_gateways, Knowledge::Outdated), at(10)) {
+    for mut poller in site(1, ZONE_LOADERS, 1) {
+        poller.next_step(&view(&zone_gateways, Knowledge::Enough), at(0));
+        match poller.next_step(&view(&zone_gateways, Knowledge::Outdated), at(10)) {
             Step::Gateway(gateway) => polled.push(gateway),
             other => panic!("{other:?} although gateways have a newer configuration"),
         }
@@ -118,15 +120,15 @@
 #[test]
 fn the_store_is_read_only_after_each_gateway_failed() {
     let zone_gateways = gateways(3);
-    let without_configuration = heard(&zone_gateways, Knowledge::Nothing);
-    let mut asking = Asking::new(loader(1, 1), 1, at(0));
+    let without_configuration = view(&zone_gateways, Knowledge::Nothing);
+    let mut poller = Poller::new(loader(1, 1), 1, at(0));
     let mut polled_gateways = Vec::new();
     let mut now = at(0);
     loop {
-        match asking.next(&without_configuration, now) {
+        match poller.next_step(&without_configuration, now) {
             Step::Gateway(gateway) => {
                 polled_gateways.push(gateway);
-                asking.note_failure(Source::Gateway, now, u64::MAX);
+                poller.record_failure(Source::Gateway, now, u64::MAX);
             }
             Step::Store => break,
             Step::Wait(until) => now = until,
@@ -136,27 +138,27 @@
     polled_gateways.sort_unstable();
     polled_gateways.dedup();
     assert_eq!(polled_gateways, zone_gateways);
-    asking.note_failure(Source::Store, now, 0);
+    poller.record_failure(Source::Store, now, 0);
     assert!(matches!(
-        asking.next(&without_configuration, at(60_000)),
+        poller.next_step(&without_configuration, at(60_000)),
         Step::Gateway(_)
     ));
 }
 
 #[test]
 fn backoff_grows_from_half_a_second_to_sixteen() {
-    let mut asking = Asking::new(loader(1, 1), 1, at(0));
-    let unreachable = heard(&[], Knowledge::Nothing);
+    let mut poller = Poller::new(loader(1, 1), 1, at(0));
+    let unreachable = view(&[], Knowledge::Nothing);
     let now = at(100_000);
-    assert!(matches!(asking.next(&unreachable, now), Step::Store));
+    assert!(matches!(poller.next_step(&unreachable, now), Step::Store));
     let mut delays_millis = Vec::new();
     for _ in 0..8 {
         // The draw that yields the maximum delay.
         let draw = delays_millis
             .last()
             .map_or(500, |last_delay: &u64| (last_delay * 2).min(16_000));
-        asking.note_failure(Source::Store, now, draw);
-        match asking.next(&unreachable, now) {
+        poller.record_failure(Source::Store, now, draw);
+        match poller.next_step(&unreachable, now) {
             Step::Wait(until) => delays_millis.push(until.millis_since(now)),
             other => panic!("{other:?} right after a failure"),
         }
@@ -190,16 +192,16 @@
         answer_millis in 0_u64..3_000,
     ) {
         let zone_gateways = gateways(count);
-        for mut asking in site(zones, 8, 10) {
+        for mut poller in site(zones, 8, 10) {
             let mut knowledge = Knowledge::Nothing;
             let mut now = 0;
             while now < 20_000 {
                 let reachable = if now >= reachable_from { &zone_gateways[..] } else { &[] };
-                match asking.next(&heard(reachable, knowledge), at(now)) {
+                match poller.next_step(&view(reachable, knowledge), at(now)) {
                     Step::Gateway(_) => {
                         now += answer_millis;
                         knowledge = Knowledge::Enough;
-                        asking.note_answer(Source::Gateway);
+                        poller.record_response(Source::Gateway);
                     }
                     Step::Store => prop_assert!(false, "read the store at {}", now),
                     Step::Weights => prop_assert!(count < MIN_RELEASE_GATEWAYS),
@@ -219,14 +221,14 @@
         draws in proptest::collection::vec(any::<u64>(), 1..40),
         count in 0_usize..5,
     ) {
-        let mut asking = Asking::new(loader(1, number), zones, at(0));
+        let mut poller = Poller::new(loader(1, number), zones, at(0));
         let mut now = 0;
         let mut draws = draws.into_iter().cycle();
         let mut run = |until: u64, count: usize, now: &mut u64| {
             let zone_gateways = gateways(count);
             let (mut longest_gap_millis, mut last_poll, mut store_reads) = (0, *now, 0);
             while *now < until {
-                let source = match asking.next(&heard(&zone_gateways, Knowledge::Nothing), at(*now)) {
+                let source = match poller.next_step(&view(&zone_gateways, Knowledge::Nothing), at(*now)) {
                     Step::Gateway(_) => Some(Source::Gateway),
                     Step::Store => Some(Source::Store),
                     Step::Weights => Some(Source::Weights),
@@ -240,7 +242,7 @@
                     longest_gap_millis = longest_gap_millis.max(*now - last_poll);
                     last_poll = *now;
                     let draw = draws.next().expect("a cycle");
-                    asking.note_failure(source, at(*now), draw);
+                    poller.record_failure(source, at(*now), draw);
                 }
                 *now += STEP_MILLIS;
             }
@@ -263,39 +265,39 @@
     let own = "10.0.0.9:7700".parse().expect("an address");
     let seeds = ["10.0.0.1:7700", "10.0.0.2:7700"].map(|seed| seed.parse().expect("an address"));
     let start = Instant::from_millis(60_000);
-    let mut asking = Asking::new(own, 3, start);
-    let heard = Heard {
+    let mut poller = Poller::new(own, 3, start);
+    let view = View {
         gateways: &[],
         seeds: &seeds,
-        near_count: 0,
+        zone_gateway_count: 0,
         knowledge: Knowledge::Nothing,
     };
     let mut polled = std::collections::BTreeSet::new();
     let mut store_at = None;
     for millis in (0..20_000).step_by(10) {
         let now = start.after_millis(millis);
-        match asking.next(&heard, now) {
+        match poller.next_step(&view, now) {
             Step::Gateway(seed) => {
                 polled.insert(seed);
-                asking.note_failure(Source::Gateway, now, 300);
+                poller.record_failure(Source::Gateway, now, 300);
             }
             Step::Store => {
                 store_at = store_at.or(Some(millis));
-                asking.note_failure(Source::Store, now, 4_000);
+                poller.record_failure(Source::Store, now, 4_000);
             }
-            Step::Weights => asking.note_failure(Source::Weights, now, 4_000),
+            Step::Weights => poller.record_failure(Source::Weights, now, 4_000),
             Step::Wait(_) => {}
         }
     }
     assert_eq!(polled.len(), seeds.len());
     let store_at = store_at.expect("unreachable seeds do not prevent a read of the store");
     assert!((2_000..9_000).contains(&store_at), "{store_at}");
-    let mut asking = Asking::new(own, 3, start);
-    assert!(matches!(asking.next(&heard, start), Step::Gateway(_)));
-    asking.note_answer(Source::Gateway);
-    let knowing = Heard {
+    let mut poller = Poller::new(own, 3, start);
+    assert!(matches!(poller.next_step(&view, start), Step::Gateway(_)));
+    poller.record_response(Source::Gateway);
+    let knowing = View {
         knowledge: Knowledge::Enough,
-        ..heard
+        ..view
     };
-    assert!(matches!(asking.next(&knowing, start), Step::Wait(_)));
+    assert!(matches!(poller.next_step(&knowing, start), Step::Wait(_)));
 }
--- a/crates/gingerpier_serving/tests/decisions.rs
+++ b/crates/gingerpier_serving/tests/decisions.rs
@@ -6,7 +6,6 @@
         admission::{self, Choice, Demand, Due},
         arrivals::Arrivals,
         backlog::Backlog,
-        bringing::{self, NamedAt, Place, Tenure, Terms},
         budget::{self, Budget},
         configuration::{
             Configuration, EngineModel, Limits, Repeat, Route, Service, ServiceKey, ServiceKind,
@@ -21,6 +20,7 @@
         precedence, prediction,
         region::Homes,
         report::{Held, Report, Version},
+        update_schedule::{self, Bound, Position, ReleaseTime, Validity},
         warmth,
     },
     proptest::prelude::*,
@@ -495,13 +495,13 @@
                 revision: Revision(revision),
                 value: (!is_removed).then(|| revision.to_be_bytes().to_vec().into()),
             };
-            let before = mirror.at();
+            let before = mirror.revision();
             if is_snapshot && !is_removed {
                 mirror.replace(vec![item], Revision(revision));
             } else {
                 mirror.apply(vec![item], Revision(revision));
             }
-            prop_assert!(mirror.at() >= before);
+            prop_assert!(mirror.revision() >= before);
             for item in mirror.items() {
                 let index: usize = item.key.parse().expect("a key");
                 prop_assert!(item.revision.0 >= newest[index]);
@@ -615,20 +615,20 @@
     assert!(configuration.tenant_of("K").is_none());
 }
 
-const UPDATE_TERMS: Terms = Terms {
+const UPDATE_TERMS: Bound = Bound {
     within_millis: 8_000,
     margin_millis: 1_900,
 };
 
-fn named(version: u64, millis: u64) -> NamedAt {
-    NamedAt {
+fn named(version: u64, millis: u64) -> ReleaseTime {
+    ReleaseTime {
         version: Version(version),
         at: at(millis),
     }
 }
 
-fn place(rank: u32) -> Place {
-    Place { rank, count: 6 }
+fn place(rank: u32) -> Position {
+    Position { rank, count: 6 }
 }
 
 const V1: Option<Version> = Some(Version(1));
@@ -636,29 +636,30 @@
 #[test]
 fn weight_updates_are_spread_over_engines_within_the_bound() {
     let known = [named(2, 0)];
-    let order = |rank| bringing::order_at(V1, &known, at(2_500), place(rank), &UPDATE_TERMS);
+    let order = |rank| update_schedule::order_at(V1, &known, at(2_500), place(rank), &UPDATE_TERMS);
     assert_eq!(order(0), at(2_500), "as soon as the weights are complete");
     for rank in 1..6 {
         assert_eq!(order(rank).millis_since(order(rank - 1)), 600);
     }
     assert!(order(5) < at(6_100));
-    let late = bringing::order_at(V1, &known, at(7_000), place(5), &UPDATE_TERMS);
+    let late = update_schedule::order_at(V1, &known, at(7_000), place(5), &UPDATE_TERMS);
     assert_eq!(
         late,
         at(7_000),
         "weights that are complete late are not delayed further"
     );
-    let empty = bringing::order_at(None, &known, at(2_500), place(5), &UPDATE_TERMS);
+    let empty = update_schedule::order_at(None, &known, at(2_500), place(5), &UPDATE_TERMS);
     assert_eq!(empty, at(2_500), "an engine without weights is not delayed");
 }
 
 #[test]
 fn newer_version_does_not_postpone_a_pending_update() {
     let known = [named(2, 0), named(3, 3_000)];
-    let alone = bringing::order_at(V1, &known[..1], at(2_500), place(3), &UPDATE_TERMS);
-    let both = bringing::order_at(V1, &known, at(2_500), place(3), &UPDATE_TERMS);
+    let alone = update_schedule::order_at(V1, &known[..1], at(2_500), place(3), &UPDATE_TERMS);
+    let both = update_schedule::order_at(V1, &known, at(2_500), place(3), &UPDATE_TERMS);
     assert_eq!(alone, both, "a newer version does not postpone the update");
-    let next = bringing::order_at(Some(Version(2)), &known, at(5_500), place(3), &UPDATE_TERMS);
+    let next =
+        update_schedule::order_at(Some(Version(2)), &known, at(5_500), place(3), &UPDATE_TERMS);
     assert_eq!(
         next.millis_since(both),
         3_000,
@@ -671,11 +672,14 @@
     let members = [11, 5, 9, 3];
     let mut ranks: Vec<u32> = members
         .iter()
-        .map(|member| bringing::place(*member, &members).rank)
+        .map(|member| update_schedule::position(*member, &members).rank)
         .collect();
     let mut shuffled = members;
     shuffled.reverse();
-    assert_eq!(bringing::place(9, &shuffled), bringing::place(9, &members));
+    assert_eq!(
+        update_schedule::position(9, &shuffled),
+        update_schedule::position(9, &members)
+    );
     ranks.sort_unstable();
     assert_eq!(ranks, [0, 1, 2, 3]);
 }
@@ -814,14 +818,18 @@
 #[test]
 fn engine_that_admits_no_requests_needs_no_notice() {
     let times = |standing| {
-        let notice = bringing::notice(standing, at(1_000));
-        [notice.quiet_until, notice.order_at].map(|time| time.millis_since(at(1_000)))
+        let notice = update_schedule::notice(standing, at(1_000));
+        [notice.unchanged_until, notice.order_at].map(|time| time.millis_since(at(1_000)))
     };
-    assert_eq!(times(Tenure::Unbounded), [450, 650]);
-    assert_eq!(times(Tenure::Empty), [0, 0]);
-    assert_eq!(times(Tenure::Until(at(900))), [0, 0], "overdue for 100 ms");
-    assert_eq!(times(Tenure::Until(at(1_300))), [300, 300]);
-    assert_eq!(times(Tenure::Until(at(5_000))), [450, 650]);
+    assert_eq!(times(Validity::Unbounded), [450, 650]);
+    assert_eq!(times(Validity::Empty), [0, 0]);
+    assert_eq!(
+        times(Validity::Until(at(900))),
+        [0, 0],
+        "overdue for 100 ms"
+    );
+    assert_eq!(times(Validity::Until(at(1_300))), [300, 300]);
+    assert_eq!(times(Validity::Until(at(5_000))), [450, 650]);
 }
 
 /// Returns how many of 64 requests from gateways with the same view are sent to the one idle engine
--- a/crates/gingerpier_serving/tests/liveness.rs
+++ b/crates/gingerpier_serving/tests/liveness.rs
@@ -76,7 +76,9 @@
         for _ in 0..INITIAL_MENTIONS {
             let mentioned = address(self.draw() as usize % self.gateways.len());
             let now = at(self.millis);
-            self.gateways[number].liveness.note_named(mentioned, now);
+            self.gateways[number]
+                .liveness
+                .record_mention(mentioned, now);
         }
     }
 
@@ -117,7 +119,7 @@
         let now = at(self.millis);
         let gateway = &mut self.gateways[index];
         let (updates, incarnation) = (
-            gateway.liveness.news_for(to),
+            gateway.liveness.updates_for(to),
             gateway.liveness.incarnation(),
         );
         let is_isolated = gateway.is_isolated;
@@ -134,24 +136,24 @@
         }
         receiver
             .liveness
-            .note_alive(address(index), incarnation, now);
-        receiver.liveness.take(&updates, now);
+            .record_message(address(index), incarnation, now);
+        receiver.liveness.apply_updates(&updates, now);
         true
     }
 
     /// Returns the number of live gateways that others miss, and of dead ones that others still
     /// count as alive.
     fn count_errors(&self) -> (usize, usize) {
-        let living = |one: &&Gateway| one.is_alive && !one.is_isolated;
-        let live_count = self.gateways.iter().filter(living).count();
+        let is_reachable = |one: &&Gateway| one.is_alive && !one.is_isolated;
+        let live_count = self.gateways.iter().filter(is_reachable).count();
         let mut missed = 0;
         let mut stale = 0;
-        for gateway in self.gateways.iter().filter(living) {
-            let known = gateway.liveness.living();
+        for gateway in self.gateways.iter().filter(is_reachable) {
+            let known = gateway.liveness.alive();
             let known: Vec<usize> = known.filter_map(|member| self.index_of(member)).collect();
             let alive = known
                 .iter()
-                .filter(|index| living(&&self.gateways[**index]))
+                .filter(|index| is_reachable(&&self.gateways[**index]))
                 .count();
             missed += live_count - 1 - alive;
             stale += known.len() - alive;
@@ -163,8 +165,8 @@
     fn bytes_per_second(&mut self, millis: u64) -> f64 {
         self.bytes = 0;
         self.run(millis);
-        let living = self.gateways.iter().filter(|one| one.is_alive).count();
-        self.bytes as f64 / living as f64 / (millis as f64 / 1_000.0)
+        let alive = self.gateways.iter().filter(|one| one.is_alive).count();
+        self.bytes as f64 / alive as f64 / (millis as f64 / 1_000.0)
     }
 }
 
@@ -224,7 +226,7 @@
     zone.run(5_000);
     zone.gateways[7].is_isolated = true;
     zone.run(8_000);
-    let known = zone.gateways[7].liveness.living().count();
+    let known = zone.gateways[7].liveness.alive().count();
     assert_eq!(known, 109, "an isolated gateway declares nobody dead");
     assert_eq!(
         zone.count_errors(),
--- a/crates/gingerpier_serving/tests/naming.rs
+++ b/crates/gingerpier_serving/tests/naming.rs
@@ -4,7 +4,7 @@
 use {
     gingerpier_base::Instant,
     gingerpier_serving::{
-        naming::{Freshness, Naming, Namings, OWN, Teller, Told},
+        release::{Freshness, LOCAL, PeerAge, Release, Releases, Reporter},
         report::Version,
     },
     proptest::prelude::*,
@@ -82,19 +82,23 @@
     since: u64,
     ahead: u64,
     fresh: Freshness,
-    namings: Namings,
+    releases: Releases,
 }
 
 impl Process {
     fn discover(&mut self, times: RequestTimes) {
         self.since = times.completed;
         let now = at(times.completed + self.ahead);
-        self.namings
-            .note(RELEASED, OWN, self.fresh.earliest(BOUND_MILLIS, now), now);
+        self.releases.record(
+            RELEASED,
+            LOCAL,
+            self.fresh.earliest_release(BOUND_MILLIS, now),
+            now,
+        );
     }
 
-    fn naming(&self) -> Option<Naming> {
-        self.namings.newest().copied()
+    fn release(&self) -> Option<Release> {
+        self.releases.newest().copied()
     }
 }
 
@@ -106,7 +110,7 @@
             process.discover(*times);
         }
         process.since = times.completed;
-        process.fresh.note_answer(at(times.sent));
+        process.fresh.record_response(at(times.sent));
         process.clone()
     };
     store_requests.iter().map(step).collect()
@@ -121,16 +125,18 @@
     let step = |times: &RequestTimes| {
         let mut earlier = watcher.iter().rev();
         if let Some(source) = earlier.find(|state| state.since <= times.responded) {
-            if source.naming().is_some() {
+            if source.release().is_some() {
                 process.discover(*times);
             }
             if let Some(age_millis) = source.fresh.age(at(times.responded + source.ahead)) {
-                let told = Told {
+                let peer_age = PeerAge {
                     held_millis: times.responded - times.received,
                     age_millis,
                 };
                 let now = at(times.completed + ahead);
-                process.fresh.note_told(at(times.sent + ahead), told, now);
+                process
+                    .fresh
+                    .record_peer_response(at(times.sent + ahead), peer_age, now);
             }
         }
         process.since = times.completed;
@@ -143,17 +149,20 @@
 fn check_release_times(states: &[Process], released_at: u64) -> Result<(), TestCaseError> {
     let discovered = states
         .iter()
-        .filter_map(|state| Some((state, state.naming()?)));
+        .filter_map(|state| Some((state, state.release()?)));
     let mut first = None;
-    for (state, naming) in discovered {
-        let first = *first.get_or_insert(naming);
+    for (state, release) in discovered {
+        let first = *first.get_or_insert(release);
         prop_assert_eq!(
-            naming,
+            release,
             first,
             "the release time of a process does not change"
         );
-        let (release_millis, heard) = (naming.at.as_millis(), naming.heard.as_millis());
-        let earliest_counted = heard - MAX_BACKDATE_MILLIS;
+        let (release_millis, discovered_at) = (
+            release.released_at.as_millis(),
+            release.discovered_at.as_millis(),
+        );
+        let earliest_counted = discovered_at - MAX_BACKDATE_MILLIS;
         prop_assert!(
             release_millis >= earliest_counted,
             "time is left for staggered updates"
@@ -188,20 +197,20 @@
         ages in prop::collection::vec((0..2_000_u64, 0..3_000_u64), 1..20),
     ) {
         // Gateways report lower bounds up to 2 s before a common time.
-        let told = 100_000;
-        let mut namings = Namings::default();
+        let peer_age = 100_000;
+        let mut releases = Releases::default();
         let mut last_at = None;
         for (index, (age, network_delay)) in ages.iter().enumerate() {
             let repeated = 500 * index as u64;
-            let now = told + repeated + network_delay;
-            let earliest = now - (age + repeated);
-            let is_new = namings.note(RELEASED, OWN, at(earliest), at(now));
+            let now = peer_age + repeated + network_delay;
+            let earliest_release = now - (age + repeated);
+            let is_new = releases.record(RELEASED, LOCAL, at(earliest_release), at(now));
             prop_assert_eq!(is_new, index == 0);
-            let release_millis = namings.newest().expect("known").at;
+            let release_millis = releases.newest().expect("known").released_at;
             prop_assert!(last_at.is_none_or(|last_at| release_millis <= last_at), "the release time only moves back");
             last_at = Some(release_millis);
         }
-        let least_delayed = ages.iter().map(|(age, network_delay)| told - age + network_delay).min();
+        let least_delayed = ages.iter().map(|(age, network_delay)| peer_age - age + network_delay).min();
         prop_assert_eq!(last_at.map(Instant::as_millis), least_delayed);
     }
 
@@ -209,20 +218,20 @@
     fn versions_only_rise_and_release_times_only_move_back(
         reports in prop::collection::vec((1..6_u64, 0..3_000_u64, 0..3_000_u64), 1..40),
     ) {
-        let mut namings = Namings::default();
+        let mut releases = Releases::default();
         let mut now = 60_000;
         for (version, pause, age) in reports {
             now += pause;
-            let before: Vec<Naming> = namings.iter().copied().collect();
-            let newest = before.last().map(|naming| naming.version);
-            let is_new = namings.note(Version(version), OWN, at(now - age), at(now));
+            let before: Vec<Release> = releases.iter().copied().collect();
+            let newest = before.last().map(|release| release.version);
+            let is_new = releases.record(Version(version), LOCAL, at(now - age), at(now));
             prop_assert_eq!(is_new, newest < Some(Version(version)));
-            let after: Vec<Naming> = namings.iter().copied().collect();
+            let after: Vec<Release> = releases.iter().copied().collect();
             prop_assert!(after.windows(2).all(|two| two[0].version < two[1].version));
             prop_assert_eq!(after.len(), before.len() + usize::from(is_new));
             for (old, new) in before.iter().zip(&after) {
-                prop_assert_eq!((old.version, old.heard), (new.version, new.heard));
-                prop_assert!(new.at <= old.at);
+                prop_assert_eq!((old.version, old.discovered_at), (new.version, new.discovered_at));
+                prop_assert!(new.released_at <= old.released_at);
             }
         }
     }
@@ -232,9 +241,9 @@
 fn a_response_counts_from_the_time_of_its_request() {
     let mut fresh = Freshness::default();
     assert_eq!(fresh.age(at(70_000)), None);
-    fresh.note_answer(at(70_000));
-    assert_eq!(fresh.earliest(BOUND_MILLIS, at(71_500)), at(70_000));
-    fresh.note_answer(at(69_000));
+    fresh.record_response(at(70_000));
+    assert_eq!(fresh.earliest_release(BOUND_MILLIS, at(71_500)), at(70_000));
+    fresh.record_response(at(69_000));
     assert_eq!(
         fresh.age(at(71_500)),
         Some(1_500),
@@ -244,15 +253,15 @@
 
 #[test]
 fn a_peer_response_counts_from_no_earlier_than_its_hold_time() {
-    let told = Told {
+    let peer_age = PeerAge {
         held_millis: 400,
         age_millis: 50,
     };
     let mut fresh = Freshness::default();
-    fresh.note_told(at(70_000), told, at(72_000));
+    fresh.record_peer_response(at(70_000), peer_age, at(72_000));
     assert_eq!(fresh.age(at(72_000)), Some(1_650));
     let mut fresh = Freshness::default();
-    fresh.note_told(at(70_000), told, at(70_300));
+    fresh.record_peer_response(at(70_000), peer_age, at(70_300));
     assert_eq!(
         fresh.age(at(70_300)),
         Some(50),
@@ -264,22 +273,27 @@
 fn backdating_is_limited_to_2_s_and_a_third_of_the_bound() {
     let mut fresh = Freshness::default();
     assert_eq!(
-        fresh.earliest(BOUND_MILLIS, at(70_000)),
+        fresh.earliest_release(BOUND_MILLIS, at(70_000)),
         at(68_000),
         "never synchronized"
     );
-    fresh.note_answer(at(60_000));
-    assert_eq!(fresh.earliest(BOUND_MILLIS, at(70_000)), at(68_000));
-    assert_eq!(fresh.earliest(3_000, at(70_000)), at(69_000));
+    fresh.record_response(at(60_000));
+    assert_eq!(fresh.earliest_release(BOUND_MILLIS, at(70_000)), at(68_000));
+    assert_eq!(fresh.earliest_release(3_000, at(70_000)), at(69_000));
 }
 
 /// Returns when older weights expire at a process that runs since `running_since` and discovers the
-/// release at `heard`.
-fn expiry(running_since: Instant, fresh: Freshness, heard: Instant) -> Instant {
-    let mut namings = Namings::default();
-    assert!(namings.note(RELEASED, OWN, fresh.earliest(BOUND_MILLIS, heard), heard));
-    namings.note_break(fresh.due_after_break(running_since, BOUND_MILLIS));
-    namings.newest().expect("known").due_at(BOUND_MILLIS)
+/// release at `discovered_at`.
+fn expiry(running_since: Instant, fresh: Freshness, discovered_at: Instant) -> Instant {
+    let mut releases = Releases::default();
+    assert!(releases.record(
+        RELEASED,
+        LOCAL,
+        fresh.earliest_release(BOUND_MILLIS, discovered_at),
+        discovered_at
+    ));
+    releases.set_restart_expiry(fresh.restart_expiry(running_since, BOUND_MILLIS));
+    releases.newest().expect("known").expires_at(BOUND_MILLIS)
 }
 
 #[test]
@@ -288,14 +302,14 @@
     for copy_after_millis in [50, 900, 1_100, 2_500, 6_000] {
         let first_copy = started.after_millis(copy_after_millis);
         let mut fresh = Freshness::default();
-        let due_at = expiry(started, fresh, first_copy);
+        let expires_at = expiry(started, fresh, first_copy);
         assert_eq!(
-            due_at,
+            expires_at,
             started.after_millis(3_000),
             "copy after {copy_after_millis}"
         );
         // A later release gets the full time.
-        fresh.note_answer(first_copy);
+        fresh.record_response(first_copy);
         let later = first_copy.after_millis(1);
         assert_eq!(
             expiry(started, fresh, later),
@@ -307,26 +321,26 @@
 #[test]
 fn a_stale_copy_of_a_peer_does_not_make_a_release_recent() {
     let started = at(100_000);
-    let told = |age_millis| {
-        let told = Told {
+    let peer_age = |age_millis| {
+        let peer_age = PeerAge {
             held_millis: 0,
             age_millis,
         };
         let mut fresh = Freshness::default();
-        fresh.note_told(at(100_200), told, at(100_300));
+        fresh.record_peer_response(at(100_200), peer_age, at(100_300));
         fresh
     };
     // The peer was isolated for 30 s, so the release may be as old.
-    assert_eq!(expiry(started, told(30_000), at(102_000)), at(103_000));
+    assert_eq!(expiry(started, peer_age(30_000), at(102_000)), at(103_000));
     // A peer with a recent copy proves that the release is later than 99.5 s.
-    assert_eq!(expiry(started, told(700), at(100_800)), at(106_300));
+    assert_eq!(expiry(started, peer_age(700), at(100_800)), at(106_300));
 }
 
 #[test]
 fn a_resumed_process_expires_weights_like_a_started_one_but_not_before_the_bound() {
     let last_at = at(100_000);
     let mut fresh = Freshness::default();
-    fresh.note_answer(last_at);
+    fresh.record_response(last_at);
     for (suspended_millis, expected_after) in [
         (2_000, 6_800),
         (3_700, 6_800),
@@ -334,9 +348,9 @@
         (9_000, 12_000),
     ] {
         let resumed_at = last_at.after_millis(suspended_millis);
-        let due_at = expiry(resumed_at, fresh, resumed_at.after_millis(100));
+        let expires_at = expiry(resumed_at, fresh, resumed_at.after_millis(100));
         assert_eq!(
-            due_at,
+            expires_at,
             last_at.after_millis(expected_after),
             "{suspended_millis}"
         );
@@ -345,17 +359,17 @@
 
 #[test]
 fn the_latest_lower_bound_of_all_sources_counts() {
-    let mut namings = Namings::default();
-    let (one, other) = (Teller(1), Teller(2));
+    let mut releases = Releases::default();
+    let (one, other) = (Reporter(1), Reporter(2));
     // This source was isolated, so its lower bound is loose.
-    assert!(namings.note(RELEASED, one, at(8_300), at(10_000)));
-    assert_eq!(namings.newest().expect("it").at, at(8_300));
-    assert!(!namings.note(RELEASED, other, at(9_900), at(10_050)));
-    assert_eq!(namings.newest().expect("it").at, at(9_900));
+    assert!(releases.record(RELEASED, one, at(8_300), at(10_000)));
+    assert_eq!(releases.newest().expect("it").released_at, at(8_300));
+    assert!(!releases.record(RELEASED, other, at(9_900), at(10_050)));
+    assert_eq!(releases.newest().expect("it").released_at, at(9_900));
     // The first report of the other source was delayed.
-    assert!(!namings.note(RELEASED, other, at(9_600), at(10_500)));
-    assert_eq!(namings.newest().expect("it").at, at(9_600));
+    assert!(!releases.record(RELEASED, other, at(9_600), at(10_500)));
+    assert_eq!(releases.newest().expect("it").released_at, at(9_600));
     // The release time is never later than the discovery.
-    assert!(!namings.note(RELEASED, Teller(3), at(10_700), at(10_700)));
-    assert_eq!(namings.newest().expect("it").at, at(10_000));
+    assert!(!releases.record(RELEASED, Reporter(3), at(10_700), at(10_700)));
+    assert_eq!(releases.newest().expect("it").released_at, at(10_000));
 }
--- a/crates/gingerpier_serving/tests/outage.rs
+++ b/crates/gingerpier_serving/tests/outage.rs
@@ -6,7 +6,7 @@
     gingerpier_serving::{
         fleet::{Fleet, Record, State},
         mirror::Revision,
-        outage::{Absence, MOST_PAUSE_MILLIS, Outage, Return},
+        outage::{Absence, MAX_RETRY_PAUSE_MILLIS, Outage, Recovery},
         report::Report,
     },
 };
@@ -32,28 +32,28 @@
 /// revision 20 at `answered`.
 fn recovered(failed: u64, answered: u64) -> Outage {
     let mut outage = Outage::default();
-    outage.note_answer(Revision(10), at(1_000));
-    outage.note_failure(at(failed));
-    outage.note_answer(Revision(20), at(answered));
+    outage.record_response(Revision(10), at(1_000));
+    outage.record_failure(at(failed));
+    outage.record_response(Revision(20), at(answered));
     outage
 }
 
 #[test]
 fn deletions_up_to_the_recovery_are_excused_and_later_ones_are_not() {
     let outage = recovered(8_800, 9_000);
-    let lapses_at = |absence| outage.lapses_at(absence, at(9_500));
+    let excused_until = |absence| outage.excused_until(absence, at(9_500));
     assert_eq!(
-        lapses_at(Absence::Event(Revision(20))),
+        excused_until(Absence::Event(Revision(20))),
         Some(at(11_000)),
         "deleted during the outage"
     );
     assert_eq!(
-        lapses_at(Absence::Event(Revision(21))),
+        excused_until(Absence::Event(Revision(21))),
         None,
         "removed after the recovery"
     );
     assert_eq!(
-        lapses_at(Absence::Listed),
+        excused_until(Absence::Listed),
         Some(at(11_000)),
         "a list has no revisions of missing keys"
     );
@@ -62,16 +62,16 @@
 #[test]
 fn entries_still_missing_two_seconds_after_the_recovery_are_removed() {
     let outage = recovered(8_800, 9_000);
-    assert_eq!(outage.lapses_at(Absence::Listed, at(11_000)), None);
+    assert_eq!(outage.excused_until(Absence::Listed, at(11_000)), None);
     let expired = Absence::Event(Revision(15));
-    assert_eq!(outage.lapses_at(expired, at(11_000)), None);
+    assert_eq!(outage.excused_until(expired, at(11_000)), None);
 }
 
 #[test]
 fn a_late_first_response_does_not_extend_the_grace_period() {
     let outage = recovered(8_000, 9_900);
     assert_eq!(
-        outage.lapses_at(Absence::Listed, at(9_900)),
+        outage.excused_until(Absence::Listed, at(9_900)),
         Some(at(11_000))
     );
 }
@@ -80,16 +80,16 @@
 fn a_failed_request_without_an_outage_excuses_nothing() {
     let outage = recovered(1_400, 1_900);
     assert_eq!(
-        outage.lapses_at(Absence::Event(Revision(20)), at(1_950)),
+        outage.excused_until(Absence::Event(Revision(20)), at(1_950)),
         None
     );
     let mut outage = Outage::default();
-    outage.note_answer(Revision(10), at(1_000));
-    outage.note_failure(at(8_000));
-    outage.note_word(at(8_500));
-    outage.note_answer(Revision(20), at(9_000));
+    outage.record_response(Revision(10), at(1_000));
+    outage.record_failure(at(8_000));
+    outage.record_peer_response(at(8_500));
+    outage.record_response(Revision(20), at(9_000));
     assert_eq!(
-        outage.lapses_at(Absence::Listed, at(9_100)),
+        outage.excused_until(Absence::Listed, at(9_100)),
         None,
         "the store responded to a peer, so only this gateway was isolated"
     );
@@ -98,31 +98,31 @@
 #[test]
 fn a_quiet_store_is_not_an_outage() {
     let mut outage = Outage::default();
-    outage.note_answer(Revision(10), at(1_000));
-    outage.note_answer(Revision(20), at(9_000));
-    assert_eq!(outage.lapses_at(Absence::Listed, at(9_000)), None);
+    outage.record_response(Revision(10), at(1_000));
+    outage.record_response(Revision(20), at(9_000));
+    assert_eq!(outage.excused_until(Absence::Listed, at(9_000)), None);
 }
 
 #[test]
 fn recoveries_reported_by_peers_count_and_the_latest_wins() {
-    let reported = |revision, until| Return {
+    let reported = |revision, until| Recovery {
         revision: Revision(revision),
         until: at(until),
     };
     let mut outage = Outage::default();
-    outage.note_word(at(1_000));
-    outage.note_told(reported(20, 11_000), at(9_000));
-    outage.note_told(reported(12, 10_000), at(9_000));
+    outage.record_peer_response(at(1_000));
+    outage.record_peer_recovery(reported(20, 11_000), at(9_000));
+    outage.record_peer_recovery(reported(12, 10_000), at(9_000));
     let expired = Absence::Event(Revision(20));
-    assert_eq!(outage.lapses_at(expired, at(9_500)), Some(at(11_000)));
-    assert_eq!(outage.last_return(at(9_500)), Some(reported(20, 11_000)));
-    assert_eq!(outage.last_return(at(11_000)), None);
+    assert_eq!(outage.excused_until(expired, at(9_500)), Some(at(11_000)));
+    assert_eq!(outage.last_recovery(at(9_500)), Some(reported(20, 11_000)));
+    assert_eq!(outage.last_recovery(at(11_000)), None);
 
     let mut outage = Outage::default();
-    outage.note_word(at(8_400));
-    outage.note_told(reported(20, 11_000), at(9_000));
+    outage.record_peer_response(at(8_400));
+    outage.record_peer_recovery(reported(20, 11_000), at(9_000));
     assert_eq!(
-        outage.lapses_at(expired, at(9_500)),
+        outage.excused_until(expired, at(9_500)),
         None,
         "only the peer was isolated"
     );
@@ -199,9 +199,9 @@
 /// recovery is noticed.
 #[test]
 fn engines_have_two_seconds_after_the_recovery_however_late_it_is_noticed() {
-    for pause in (0..=MOST_PAUSE_MILLIS).step_by(50) {
+    for pause in (0..=MAX_RETRY_PAUSE_MILLIS).step_by(50) {
         let noticed = 9_000 + pause;
-        let until = recovered(9_000, noticed).lapses_at(Absence::Listed, at(noticed));
+        let until = recovered(9_000, noticed).excused_until(Absence::Listed, at(noticed));
         let until = until.expect("missing entries are excused");
         assert_eq!(until, at(noticed + 2_000), "pause {pause}");
     }
--- a/crates/gingerpier_serving/tests/places.rs
+++ b/crates/gingerpier_serving/tests/places.rs
@@ -312,7 +312,7 @@
             let mut exchange =
                 Exchange::new(address(number), ZONES[number % 3], ZONES.into_iter(), at(0));
             for other in 0..count {
-                exchange.note_member(ZONES[other % 3], address(other), at(0));
+                exchange.record_member(ZONES[other % 3], address(other), at(0));
             }
             Gateway {
                 fleet: Fleet::of(regions()),
@@ -440,13 +440,13 @@
             alive_members.extend(
                 self.gateways
                     .iter()
-                    .flat_map(|gateway| gateway.exchange.living(instant))
+                    .flat_map(|gateway| gateway.exchange.alive(instant))
                     .map(|(zone, address)| (zone.to_owned(), address)),
             );
         }
         for gateway in &mut self.gateways {
             for (zone, address) in &alive_members {
-                gateway.exchange.note_member(zone, *address, instant);
+                gateway.exchange.record_member(zone, *address, instant);
             }
             let (mut arrived, in_transit): (Vec<_>, Vec<_>) = gateway
                 .in_transit
--- a/crates/gingerpier_serving/tests/shared_link.rs
+++ b/crates/gingerpier_serving/tests/shared_link.rs
@@ -15,7 +15,7 @@
 
 use {
     gingerpier_base::Instant,
-    gingerpier_serving::watching::{Failure, Step, WATCHERS, Watching},
+    gingerpier_serving::watching::{Failure, Step, WATCHERS, WatcherSelection},
     std::{collections::VecDeque, net::SocketAddr},
 };
 
@@ -68,31 +68,31 @@
 const CHANGE_AT: Instant = Instant::from_millis(600);
 
 /// Decisions of one gateway; the only code that depends on the types under test.
-struct Decisions(Watching);
+struct Decisions(WatcherSelection);
 
 impl Decisions {
     const fn new(own: SocketAddr, now: Instant) -> Self {
-        Self(Watching::new(own, now))
+        Self(WatcherSelection::new(own, now))
     }
 
     fn next(&mut self, others: &[SocketAddr], has_copy: bool, now: Instant) -> Step {
-        self.0.next(others, has_copy, now)
+        self.0.next_step(others, has_copy, now)
     }
 
     fn max_age_millis(&self, member: SocketAddr, now: Instant) -> u64 {
-        self.0.most_age_millis(member, now)
+        self.0.max_age_millis(member, now)
     }
 
     fn record_stale(&mut self, member: SocketAddr, now: Instant) {
-        self.0.note_failure(member, Failure::Old, now);
+        self.0.record_failure(member, Failure::Old, now);
     }
 
     fn note_without_copy(&mut self, member: SocketAddr) {
-        self.0.note_without_copy(member);
+        self.0.record_missing_copy(member);
     }
 
     fn note_probe(&mut self, is_ahead: bool, millis: u64, now: Instant) {
-        self.0.note_probe(is_ahead, millis, now);
+        self.0.record_probe(is_ahead, millis, now);
     }
 }
 
--- a/crates/gingerpier_serving/tests/suspects/main.rs
+++ b/crates/gingerpier_serving/tests/suspects/main.rs
@@ -14,10 +14,10 @@
 use {
     gingerpier_base::Instant,
     gingerpier_serving::{
-        mark::{Mark, Subject},
+        fingerprint::{Fingerprint, Input},
         report::Version,
-        suspects::{End, Incarnation, Noted, Standing, Suspects},
-        trials::{SETTLE_MILLIS, TRIAL_TIMEOUT_MILLIS, Trial, Trials},
+        suspects::{Crash, Incarnation, ReportOutcome, Status, Suspects},
+        trials::{CONFLICT_WINDOW_MILLIS, TRIAL_TIMEOUT_MILLIS, Trial, Trials},
     },
     model::{Disabled, Outcome, Policy, Scenario, simulate},
     std::net::SocketAddr,
@@ -33,9 +33,9 @@
 /// flight.
 const MAX_MEDIAN_CRASHES: usize = 5;
 
-fn end(mark: Mark, engine: u64, millis: u64) -> End {
-    End {
-        mark,
+fn crash_at(fingerprint: Fingerprint, engine: u64, millis: u64) -> Crash {
+    Crash {
+        fingerprint,
         account: 1,
         engine: Incarnation(engine),
         version: Version(1),
@@ -44,12 +44,12 @@
 }
 
 /// Evaluates after all reports have settled.
-fn judge(suspects: &mut Suspects) -> Vec<Mark> {
-    suspects.judge(Instant::from_millis(1_000_000))
+fn evaluate(suspects: &mut Suspects) -> Vec<Fingerprint> {
+    suspects.evaluate(Instant::from_millis(1_000_000))
 }
 
-fn mark(number: u8) -> Mark {
-    Mark([number; 16])
+fn fingerprint(number: u8) -> Fingerprint {
+    Fingerprint([number; 16])
 }
 
 fn simulate_all(disabled: Disabled, policy: Policy) -> impl Iterator<Item = Outcome> {
@@ -106,68 +106,74 @@
 
 #[test]
 fn fingerprints_are_equal_for_retries_only() {
-    let subject = Subject {
+    let input = Input {
         host: "h.example",
         target: b"/a/b",
         account: "t",
         body: b"body",
     };
-    let same = Subject {
+    let same = Input {
         host: "H.example",
-        ..subject
+        ..input
     };
-    assert_eq!(Mark::of(&subject), Mark::of(&same));
+    assert_eq!(Fingerprint::of(&input), Fingerprint::of(&same));
     let others = [
-        Subject {
+        Input {
             host: "i.example",
-            ..subject
+            ..input
         },
-        Subject {
+        Input {
             target: b"/a/b?c",
-            ..subject
+            ..input
         },
-        Subject {
+        Input {
             account: "u",
-            ..subject
+            ..input
         },
-        Subject {
+        Input {
             body: b"bodz",
-            ..subject
+            ..input
         },
         // Content moved to the neighbouring part.
-        Subject {
+        Input {
             target: b"/a/bt",
             account: "",
-            ..subject
+            ..input
         },
     ];
     for other in others {
-        assert_ne!(Mark::of(&subject), Mark::of(&other));
+        assert_ne!(Fingerprint::of(&input), Fingerprint::of(&other));
     }
 }
 
 #[test]
 fn four_separate_crashes_hold_a_request_back() {
     let mut suspects = Suspects::default();
-    assert_eq!(suspects.note_end(end(mark(1), 1, 0), 12), Noted::News);
     assert_eq!(
-        suspects.note_end(end(mark(1), 1, 10), 12),
-        Noted::Known,
+        suspects.record_crash(crash_at(fingerprint(1), 1, 0), 12),
+        ReportOutcome::News
+    );
+    assert_eq!(
+        suspects.record_crash(crash_at(fingerprint(1), 1, 10), 12),
+        ReportOutcome::Known,
         "reported twice"
     );
-    assert_eq!(suspects.standing(mark(1)), Standing::Noted);
-    suspects.note_end(end(mark(1), 2, 300), 12);
-    suspects.note_end(end(mark(1), 3, 600), 12);
-    assert!(judge(&mut suspects).is_empty());
-    assert_eq!(suspects.note_end(end(mark(1), 4, 900), 12), Noted::News);
+    assert_eq!(suspects.status(fingerprint(1)), Status::ReportOutcome);
+    suspects.record_crash(crash_at(fingerprint(1), 2, 300), 12);
+    suspects.record_crash(crash_at(fingerprint(1), 3, 600), 12);
+    assert!(evaluate(&mut suspects).is_empty());
+    assert_eq!(
+        suspects.record_crash(crash_at(fingerprint(1), 4, 900), 12),
+        ReportOutcome::News
+    );
     assert_eq!(
-        suspects.standing(mark(1)),
-        Standing::Suspect,
+        suspects.status(fingerprint(1)),
+        Status::Suspect,
         "not evaluated yet"
     );
-    assert_eq!(judge(&mut suspects), [mark(1)]);
-    assert_eq!(suspects.standing(mark(1)), Standing::Held);
-    assert_eq!(suspects.standing(mark(2)), Standing::Clear);
+    assert_eq!(evaluate(&mut suspects), [fingerprint(1)]);
+    assert_eq!(suspects.status(fingerprint(1)), Status::Held);
+    assert_eq!(suspects.status(fingerprint(2)), Status::Clear);
 }
 
 #[test]
@@ -175,30 +181,30 @@
     let mut suspects = Suspects::default();
     let mut held = Vec::new();
     for millis in 0..200 {
-        suspects.note_end(end(mark(2), 1_000 + millis, millis), 5_000);
+        suspects.record_crash(crash_at(fingerprint(2), 1_000 + millis, millis), 5_000);
         if millis % 30 == 0 {
-            suspects.note_end(end(mark(1), millis, millis), 5_000);
+            suspects.record_crash(crash_at(fingerprint(1), millis, millis), 5_000);
         }
         let now = Instant::from_millis(millis);
-        if suspects.judges_at().is_some_and(|at| at.has_passed(now)) {
-            held.extend(suspects.judge(now));
+        if suspects.evaluates_at().is_some_and(|at| at.has_passed(now)) {
+            held.extend(suspects.evaluate(now));
         }
     }
-    assert!(held.contains(&mark(1)), "{held:?}");
+    assert!(held.contains(&fingerprint(1)), "{held:?}");
 }
 
 #[test]
 fn a_common_failure_holds_a_request_back_only_from_five_crashes() {
     let mut suspects = Suspects::default();
     for engine in 0..4 {
-        suspects.note_end(end(mark(1), engine, 1_000 + engine), 12);
+        suspects.record_crash(crash_at(fingerprint(1), engine, 1_000 + engine), 12);
     }
     assert!(
-        judge(&mut suspects).is_empty(),
+        evaluate(&mut suspects).is_empty(),
         "a common failure of a third of all engines"
     );
-    suspects.note_end(end(mark(1), 4, 1_004), 12);
-    assert_eq!(judge(&mut suspects), [mark(1)]);
+    suspects.record_crash(crash_at(fingerprint(1), 4, 1_004), 12);
+    assert_eq!(evaluate(&mut suspects), [fingerprint(1)]);
 }
 
 #[test]
@@ -208,91 +214,91 @@
     // at two later ones.
     for (request, engines) in [(1, 1..5), (2, 5..9)] {
         for engine in engines {
-            suspects.note_end(end(mark(request), engine, engine * 300), 12);
+            suspects.record_crash(crash_at(fingerprint(request), engine, engine * 300), 12);
         }
     }
     for engine in [1, 5, 9, 10] {
-        suspects.note_end(end(mark(3), engine, engine * 300), 12);
+        suspects.record_crash(crash_at(fingerprint(3), engine, engine * 300), 12);
     }
-    judge(&mut suspects);
-    let standings = [1, 2, 3].map(|request| suspects.standing(mark(request)));
-    assert_eq!(
-        standings,
-        [Standing::Held, Standing::Held, Standing::Suspect]
-    );
+    evaluate(&mut suspects);
+    let standings = [1, 2, 3].map(|request| suspects.status(fingerprint(request)));
+    assert_eq!(standings, [Status::Held, Status::Held, Status::Suspect]);
 }
 
 #[test]
 fn a_complete_response_refutes_crashes_up_to_its_version() {
     let mut suspects = Suspects::default();
-    suspects.note_finished(mark(1), Version(1));
-    let noted = suspects.note_end(end(mark(1), 1, 0), 12);
+    suspects.record_completion(fingerprint(1), Version(1));
+    let noted = suspects.record_crash(crash_at(fingerprint(1), 1, 0), 12);
     assert_eq!(
         noted,
-        Noted::Refuted(Version(1)),
+        ReportOutcome::Refuted(Version(1)),
         "the reporter should be told"
     );
     for engine in 2..6 {
-        let end = End {
+        let crash = Crash {
             version: Version(2),
-            ..end(mark(1), engine, engine * 300)
+            ..crash_at(fingerprint(1), engine, engine * 300)
         };
-        suspects.note_end(end, 12);
+        suspects.record_crash(crash, 12);
     }
     assert_eq!(
-        judge(&mut suspects),
-        [mark(1)],
+        evaluate(&mut suspects),
+        [fingerprint(1)],
         "the response was from older weights"
     );
-    assert!(suspects.note_cleared(mark(1), Version(2)));
-    assert_eq!(suspects.standing(mark(1)), Standing::Clear);
+    assert!(suspects.record_refutation(fingerprint(1), Version(2)));
+    assert_eq!(suspects.status(fingerprint(1)), Status::Clear);
 }
 
 #[test]
 fn a_dismissal_lasts_until_four_more_crashes() {
     let mut suspects = Suspects::default();
     for engine in 0..4 {
-        suspects.note_end(end(mark(1), engine, engine * 300), 12);
+        suspects.record_crash(crash_at(fingerprint(1), engine, engine * 300), 12);
     }
-    let pardoned = suspects.pardon(mark(1));
-    assert_eq!(suspects.standing(mark(1)), Standing::Clear);
+    let dismissed = suspects.dismiss(fingerprint(1));
+    assert_eq!(suspects.status(fingerprint(1)), Status::Clear);
     for engine in 4..8 {
-        suspects.note_end(end(mark(1), engine, engine * 300), 12);
+        suspects.record_crash(crash_at(fingerprint(1), engine, engine * 300), 12);
     }
-    assert_eq!(judge(&mut suspects), [mark(1)]);
+    assert_eq!(evaluate(&mut suspects), [fingerprint(1)]);
     // The dismissal may arrive before the crashes.
     let mut other = Suspects::default();
-    for engine in pardoned {
-        assert!(other.note_pardoned(mark(1), 1, engine));
+    for engine in dismissed {
+        assert!(other.record_dismissal(fingerprint(1), 1, engine));
     }
     for engine in 0..4 {
-        other.note_end(end(mark(1), engine, engine * 300), 12);
+        other.record_crash(crash_at(fingerprint(1), engine, engine * 300), 12);
     }
-    assert!(judge(&mut other).is_empty());
-    assert_eq!(other.standing(mark(1)), Standing::Clear);
+    assert!(evaluate(&mut other).is_empty());
+    assert_eq!(other.status(fingerprint(1)), Status::Clear);
 }
 
 #[test]
 fn a_flooding_account_evicts_only_its_own_cases_and_none_held_back() {
     let mut suspects = Suspects::default();
     for engine in 0..4 {
-        suspects.note_end(end(mark(1), engine, engine * 300), 12);
+        suspects.record_crash(crash_at(fingerprint(1), engine, engine * 300), 12);
     }
-    judge(&mut suspects);
-    let other = End {
+    evaluate(&mut suspects);
+    let other = Crash {
         account: 2,
-        ..end(mark(2), 9, 2_000)
+        ..crash_at(fingerprint(2), 9, 2_000)
     };
-    suspects.note_end(other, 12);
+    suspects.record_crash(other, 12);
     for number in 0..5_000_u64 {
         let mut bytes = [0; 16];
         bytes[..8].copy_from_slice(&(number + 1_000).to_le_bytes());
-        suspects.note_end(end(Mark(bytes), 100 + number, 3_000 + number * 100), 12);
+        suspects.record_crash(
+            crash_at(Fingerprint(bytes), 100 + number, 3_000 + number * 100),
+            12,
+        );
     }
-    assert_eq!(suspects.standing(mark(1)), Standing::Held);
+    assert_eq!(suspects.status(fingerprint(1)), Status::Held);
     assert_eq!(
-        suspects.standing(mark(2)),
-        Standing::Noted,
+        suspects.status(fingerprint(2)),
+        Status::ReportOutcome,
         "a case of another account"
     );
     assert!(suspects.count() <= 1_024);
@@ -300,19 +306,19 @@
 
 #[test]
 fn digests_are_equal_in_any_order_of_reports() {
-    let ends: Vec<End> = (0..3)
-        .map(|engine| end(mark(1), engine, engine * 300))
+    let crashes: Vec<Crash> = (0..3)
+        .map(|engine| crash_at(fingerprint(1), engine, engine * 300))
         .collect();
     let (mut one, mut other) = (Suspects::default(), Suspects::default());
     assert_eq!(one.digest(), 0);
-    for end in &ends {
-        one.note_end(*end, 12);
+    for crash in &crashes {
+        one.record_crash(*crash, 12);
     }
-    for end in ends.iter().rev() {
-        other.note_end(*end, 12);
+    for crash in crashes.iter().rev() {
+        other.record_crash(*crash, 12);
     }
     assert_eq!(one.digest(), other.digest());
-    other.note_cleared(mark(1), Version(1));
+    other.record_refutation(fingerprint(1), Version(1));
     assert_ne!(one.digest(), other.digest());
 }
 
@@ -320,30 +326,30 @@
 fn the_lower_of_two_simultaneous_trials_continues() {
     let at = Instant::from_millis;
     let trial = |last, request, engine| Trial {
-        by: SocketAddr::from(([10, 0, 0, last], 1)),
-        mark: mark(request),
+        gateway: SocketAddr::from(([10, 0, 0, last], 1)),
+        fingerprint: fingerprint(request),
         engine: Some(Incarnation(engine)),
     };
     let (lower, higher) = (trial(1, 1, 7), trial(2, 1, 8));
     let mut trials = Trials::default();
-    trials.note_begun(higher, at(0));
-    trials.note_begun(lower, at(SETTLE_MILLIS - 1));
+    trials.record_start(higher, at(0));
+    trials.record_start(lower, at(CONFLICT_WINDOW_MILLIS - 1));
     assert!(
-        trials.goes_on(&lower, at(SETTLE_MILLIS - 1)),
+        trials.may_continue(&lower, at(CONFLICT_WINDOW_MILLIS - 1)),
         "same request"
     );
-    assert!(!trials.goes_on(&higher, at(SETTLE_MILLIS - 1)));
-    trials.note_over(lower.mark, lower.by);
-    assert!(trials.goes_on(&higher, at(SETTLE_MILLIS)));
+    assert!(!trials.may_continue(&higher, at(CONFLICT_WINDOW_MILLIS - 1)));
+    trials.record_end(lower.fingerprint, lower.gateway);
+    assert!(trials.may_continue(&higher, at(CONFLICT_WINDOW_MILLIS)));
     let beside = trial(1, 2, 8);
-    trials.note_begun(beside, at(SETTLE_MILLIS));
+    trials.record_start(beside, at(CONFLICT_WINDOW_MILLIS));
     assert!(
-        !trials.goes_on(&beside, at(SETTLE_MILLIS)),
+        !trials.may_continue(&beside, at(CONFLICT_WINDOW_MILLIS)),
         "the engine is reserved for another trial"
     );
-    assert!(trials.is_on_trial(mark(1), at(30)));
+    assert!(trials.is_on_trial(fingerprint(1), at(30)));
     assert!(
-        !trials.is_on_trial(mark(1), at(TRIAL_TIMEOUT_MILLIS)),
+        !trials.is_on_trial(fingerprint(1), at(TRIAL_TIMEOUT_MILLIS)),
         "the trial timed out"
     );
 }
--- a/crates/gingerpier_serving/tests/suspects/model.rs
+++ b/crates/gingerpier_serving/tests/suspects/model.rs
@@ -3,13 +3,13 @@
 use {
     gingerpier_base::{Instant, order},
     gingerpier_serving::{
-        mark::Mark,
+        fingerprint::Fingerprint,
         report::Version,
         suspects::{
-            Case, End, HOLD_MIN_CRASHES, Incarnation, JUDGED_AFTER_MILLIS, Noted, Standing,
+            CRASH_SETTLE_MILLIS, Case, Crash, HOLD_MIN_CRASHES, Incarnation, ReportOutcome, Status,
             Suspects,
         },
-        trials::{SETTLE_MILLIS, Trial, Trials},
+        trials::{CONFLICT_WINDOW_MILLIS, Trial, Trials},
     },
     std::{
         cmp::Reverse,
@@ -79,7 +79,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Request {
-    mark: Mark,
+    fingerprint: Fingerprint,
     crashes_engines: bool,
     attempts: u32,
     retries: u32,
@@ -88,12 +88,12 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    End(End),
-    Cleared(Mark),
+    Crash(Crash),
+    Cleared(Fingerprint),
     /// The same, in reply to a report of a crash.
-    Reply(Mark),
+    Reply(Fingerprint),
     TrialStarted(Trial),
-    TrialEnded(Mark, SocketAddr),
+    TrialEnded(Fingerprint, SocketAddr),
     Digest(u64, usize, bool),
 }
 
@@ -148,8 +148,8 @@
     gateways: Vec<Gateway>,
     partition: (u64, u64),
     number: u64,
-    crash_times: HashMap<Mark, Vec<u64>>,
-    late_sends_by_mark: HashMap<Mark, usize>,
+    crash_times: HashMap<Fingerprint, Vec<u64>>,
+    late_sends_by_request: HashMap<Fingerprint, usize>,
     held_innocents: usize,
 }
 
@@ -157,10 +157,10 @@
     SocketAddr::from(([10, 0, 0, gateway as u8 + 1], 7_700))
 }
 
-fn mark_number(number: u64) -> Mark {
+fn numbered_fingerprint(number: u64) -> Fingerprint {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&number.to_le_bytes());
-    Mark(bytes)
+    Fingerprint(bytes)
 }
 
 const fn zone_of(gateway: usize) -> usize {
@@ -196,7 +196,7 @@
         partition: (0, 0),
         number: 1_000,
         crash_times: HashMap::new(),
-        late_sends_by_mark: HashMap::new(),
+        late_sends_by_request: HashMap::new(),
         held_innocents: 0,
     };
     simulation.prepare();
@@ -205,7 +205,7 @@
         seed,
         held_innocents: simulation.held_innocents,
         late_sends: simulation
-            .late_sends_by_mark
+            .late_sends_by_request
             .values()
             .copied()
             .max()
@@ -229,11 +229,11 @@
     fn prepare(&mut self) {
         for at in (0..RUN_MILLIS).step_by(REQUEST_INTERVAL_MILLIS as usize) {
             // Three in ten callers send one of three common requests, the others a unique one.
-            let mark = match self.draw(10) {
-                0..3 => mark_number(self.draw(3)),
-                _ => mark_number(100_000 + at),
+            let fingerprint = match self.draw(10) {
+                0..3 => numbered_fingerprint(self.draw(3)),
+                _ => numbered_fingerprint(100_000 + at),
             };
-            self.submit(at, mark, false);
+            self.submit(at, fingerprint, false);
         }
         for crashing in 0..1 + self.draw(3) {
             let between = 100 + self.draw(600);
@@ -241,7 +241,7 @@
             while at < RUN_MILLIS {
                 // Some callers send duplicates.
                 for _ in 0..1 + self.draw(3) {
-                    self.submit(at, mark_number(10 + crashing), true);
+                    self.submit(at, numbered_fingerprint(10 + crashing), true);
                 }
                 at += between;
             }
@@ -264,7 +264,7 @@
         }
     }
 
-    fn submit(&mut self, at: u64, mark: Mark, crashes_engines: bool) {
+    fn submit(&mut self, at: u64, fingerprint: Fingerprint, crashes_engines: bool) {
         let gateway = self.draw(GATEWAYS as u64) as usize;
         // A third of the callers retry more often than told.
         let retries = match self.draw(3) {
@@ -272,7 +272,7 @@
             _ => 1,
         };
         let request = Request {
-            mark,
+            fingerprint,
             crashes_engines,
             attempts: 2,
             retries,
@@ -309,29 +309,32 @@
         Instant::from_millis(self.now + 100_000)
     }
 
-    fn standing(&self, gateway: usize, mark: Mark) -> Standing {
+    fn status(&self, gateway: usize, fingerprint: Fingerprint) -> Status {
         let gateway = &self.gateways[gateway];
-        let known = gateway.suspects.standing(mark);
+        let known = gateway.suspects.status(fingerprint);
         if self.policy == Policy::Attribution {
             return known;
         }
-        let grave = gateway.suspects.grave().find(|(one, _)| *one == mark);
-        let Some((_, case)) = grave else {
+        let replicated_cases = gateway
+            .suspects
+            .replicated_cases()
+            .find(|(one, _)| *one == fingerprint);
+        let Some((_, case)) = replicated_cases else {
             return known;
         };
-        let is_cleared = case.cleared.is_some();
-        let ends = case.ends.len();
+        let is_cleared = case.refuted_up_to.is_some();
+        let crashes = case.crashes.len();
         let is_held = match self.policy {
             Policy::Likelihood => {
                 let share = (gateway.crashed / gateway.runs).clamp(0.001, 0.9);
-                share.powi(ends as i32) < 1e-6
+                share.powi(crashes as i32) < 1e-6
             }
-            _ => ends >= HOLD_MIN_CRASHES,
+            _ => crashes >= HOLD_MIN_CRASHES,
         };
         match (is_cleared, is_held) {
-            (true, _) => Standing::Clear,
-            (false, true) => Standing::Held,
-            (false, false) => Standing::Suspect,
+            (true, _) => Status::Clear,
+            (false, true) => Status::Held,
+            (false, false) => Status::Suspect,
         }
     }
 
@@ -339,10 +342,10 @@
         if self.gateways[gateway].up_at > self.now {
             return self.retry_later(request);
         }
-        match self.standing(gateway, request.mark) {
-            Standing::Held => self.held_innocents += usize::from(!request.crashes_engines),
-            Standing::Clear => self.send(request, gateway),
-            Standing::Noted | Standing::Suspect => self.announce_trial(request, gateway),
+        match self.status(gateway, request.fingerprint) {
+            Status::Held => self.held_innocents += usize::from(!request.crashes_engines),
+            Status::Clear => self.send(request, gateway),
+            Status::ReportOutcome | Status::Suspect => self.announce_trial(request, gateway),
         }
     }
 
@@ -350,8 +353,8 @@
         let at = self.at();
         let trials = &self.gateways[gateway].trials;
         let reserved: Vec<Incarnation> = trials.engines(at).collect();
-        let is_on_trial = trials.is_on_trial(request.mark, at);
-        let is_suspect = self.standing(gateway, request.mark) == Standing::Suspect;
+        let is_on_trial = trials.is_on_trial(request.fingerprint, at);
+        let is_suspect = self.status(gateway, request.fingerprint) == Status::Suspect;
         let candidates: Vec<usize> = self.engines_with_room().collect();
         let candidates = match candidates.len() {
             0 => None,
@@ -375,17 +378,23 @@
                 false => self.schedule(20, Event::Arrive(request, gateway)),
             };
         };
-        let trial = self.trial(request.mark, gateway, engine, reserves_engine);
-        self.gateways[gateway].trials.note_begun(trial, at);
+        let trial = self.trial(request.fingerprint, gateway, engine, reserves_engine);
+        self.gateways[gateway].trials.record_start(trial, at);
         self.broadcast(gateway, &Message::TrialStarted(trial));
         let event = Event::StartTrial(request, gateway, engine, reserves_engine);
-        self.schedule(SETTLE_MILLIS, event);
+        self.schedule(CONFLICT_WINDOW_MILLIS, event);
     }
 
-    fn trial(&self, mark: Mark, gateway: usize, engine: usize, reserves_engine: bool) -> Trial {
+    fn trial(
+        &self,
+        fingerprint: Fingerprint,
+        gateway: usize,
+        engine: usize,
+        reserves_engine: bool,
+    ) -> Trial {
         Trial {
-            by: address(gateway),
-            mark,
+            gateway: address(gateway),
+            fingerprint,
             engine: reserves_engine.then(|| self.incarnation(engine)),
         }
     }
@@ -412,25 +421,27 @@
         if self.gateways[gateway].up_at > self.now {
             return;
         }
-        let trial = self.trial(request.mark, gateway, engine, reserves_engine);
-        let goes_on = self.gateways[gateway].trials.goes_on(&trial, self.at());
-        let standing = self.standing(gateway, request.mark);
+        let trial = self.trial(request.fingerprint, gateway, engine, reserves_engine);
+        let may_continue = self.gateways[gateway]
+            .trials
+            .may_continue(&trial, self.at());
+        let status = self.status(gateway, request.fingerprint);
         let is_suspect = match reserves_engine {
-            true => matches!(standing, Standing::Noted | Standing::Suspect),
-            false => standing == Standing::Noted,
+            true => matches!(status, Status::ReportOutcome | Status::Suspect),
+            false => status == Status::ReportOutcome,
         };
         let has_room = self.engines_with_room().any(|one| one == engine);
-        if goes_on && is_suspect && has_room {
+        if may_continue && is_suspect && has_room {
             return self.send_to(request, gateway, engine, true);
         }
-        self.end_trial(request.mark, gateway);
+        self.end_trial(request.fingerprint, gateway);
         self.arrive(request, gateway);
     }
 
-    fn end_trial(&mut self, mark: Mark, gateway: usize) {
+    fn end_trial(&mut self, fingerprint: Fingerprint, gateway: usize) {
         let by = address(gateway);
-        self.gateways[gateway].trials.note_over(mark, by);
-        self.broadcast(gateway, &Message::TrialEnded(mark, by));
+        self.gateways[gateway].trials.record_end(fingerprint, by);
+        self.broadcast(gateway, &Message::TrialEnded(fingerprint, by));
     }
 
     fn send(&mut self, request: Request, gateway: usize) {
@@ -468,8 +479,8 @@
     fn note_send(&mut self, request: Request, gateway: usize) {
         let Some(third) = self
             .crash_times
-            .get(&request.mark)
-            .and_then(|ends| ends.get(2))
+            .get(&request.fingerprint)
+            .and_then(|crashes| crashes.get(2))
         else {
             return;
         };
@@ -479,7 +490,10 @@
         let is_partitioned =
             zone_of(gateway) == 0 && self.now >= from && self.now <= to + CONVERGENCE_MILLIS;
         if is_late && is_up && !is_partitioned {
-            *self.late_sends_by_mark.entry(request.mark).or_default() += 1;
+            *self
+                .late_sends_by_request
+                .entry(request.fingerprint)
+                .or_default() += 1;
         }
     }
 
@@ -492,9 +506,9 @@
             return;
         };
         if runs[index].request.crashes_engines {
-            let mark = runs[index].request.mark;
+            let fingerprint = runs[index].request.fingerprint;
             let now = self.now;
-            self.crash_times.entry(mark).or_default().push(now);
+            self.crash_times.entry(fingerprint).or_default().push(now);
             return self.crash(engine);
         }
         let run = runs.swap_remove(index);
@@ -505,13 +519,15 @@
         gateway.runs = gateway.runs * 0.995 + 1.0;
         gateway.crashed *= 0.995;
         if self.disabled != Disabled::Refutation {
-            let refutes = gateway.suspects.note_finished(run.request.mark, Version(1));
+            let refutes = gateway
+                .suspects
+                .record_completion(run.request.fingerprint, Version(1));
             if refutes {
-                self.broadcast(run.gateway, &Message::Cleared(run.request.mark));
+                self.broadcast(run.gateway, &Message::Cleared(run.request.fingerprint));
             }
         }
         if run.is_trial {
-            self.end_trial(run.request.mark, run.gateway);
+            self.end_trial(run.request.fingerprint, run.gateway);
         }
     }
 
@@ -533,8 +549,8 @@
             gateway.runs = gateway.runs * 0.995 + 1.0;
             gateway.crashed = gateway.crashed * 0.995 + 1.0;
             let delay_millis = 1 + self.draw(MAX_DELAY_MILLIS);
-            let end = End {
-                mark: run.request.mark,
+            let crash = Crash {
+                fingerprint: run.request.fingerprint,
                 account: 0,
                 engine: incarnation,
                 version: Version(1),
@@ -542,10 +558,10 @@
             };
             self.schedule(
                 delay_millis,
-                Event::Receive(run.gateway, run.gateway, Message::End(end)),
+                Event::Receive(run.gateway, run.gateway, Message::Crash(crash)),
             );
             if run.is_trial {
-                self.end_trial(run.request.mark, run.gateway);
+                self.end_trial(run.request.fingerprint, run.gateway);
             }
             match run.request.attempts {
                 0 => self.retry_later(run.request),
@@ -608,31 +624,31 @@
         let at = self.at();
         let state = &mut self.gateways[gateway];
         match message {
-            Message::End(end) => {
-                let noted = state.suspects.note_end(*end, ENGINES);
-                let is_news = noted == Noted::News;
+            Message::Crash(crash) => {
+                let noted = state.suspects.record_crash(*crash, ENGINES);
+                let is_news = noted == ReportOutcome::News;
                 if from == gateway && is_news {
                     for millis in REPEAT_DELAYS_MILLIS {
-                        self.broadcast_after(gateway, &Message::End(*end), millis);
+                        self.broadcast_after(gateway, &Message::Crash(*crash), millis);
                     }
                 }
-                if from != gateway && matches!(noted, Noted::Refuted(_)) {
-                    self.send_message(gateway, from, Message::Reply(end.mark), 0);
+                if from != gateway && matches!(noted, ReportOutcome::Refuted(_)) {
+                    self.send_message(gateway, from, Message::Reply(crash.fingerprint), 0);
                 }
                 if is_news {
-                    self.schedule(JUDGED_AFTER_MILLIS + 1, Event::Evaluate(gateway));
+                    self.schedule(CRASH_SETTLE_MILLIS + 1, Event::Evaluate(gateway));
                 }
             }
-            Message::Cleared(mark) => {
-                state.suspects.note_cleared(*mark, Version(1));
+            Message::Cleared(fingerprint) => {
+                state.suspects.record_refutation(*fingerprint, Version(1));
             }
-            Message::Reply(mark) => {
-                if state.suspects.note_cleared(*mark, Version(1)) {
-                    self.broadcast(gateway, &Message::Cleared(*mark));
+            Message::Reply(fingerprint) => {
+                if state.suspects.record_refutation(*fingerprint, Version(1)) {
+                    self.broadcast(gateway, &Message::Cleared(*fingerprint));
                 }
             }
-            Message::TrialEnded(mark, by) => state.trials.note_over(*mark, *by),
-            Message::TrialStarted(trial) => state.trials.note_begun(*trial, at),
+            Message::TrialEnded(fingerprint, by) => state.trials.record_end(*fingerprint, *by),
+            Message::TrialStarted(trial) => state.trials.record_start(*trial, at),
             Message::Digest(digest, from, is_reply) => {
                 self.reply_to_digest(gateway, *digest, *from, *is_reply);
             }
@@ -641,17 +657,17 @@
 
     fn evaluate(&mut self, gateway: usize) {
         let at = self.at();
-        for mark in self.gateways[gateway].suspects.judge(at) {
-            self.abort_runs(gateway, mark);
+        for fingerprint in self.gateways[gateway].suspects.evaluate(at) {
+            self.abort_runs(gateway, fingerprint);
         }
     }
 
     /// Aborts all runs of a request that is held back.
-    fn abort_runs(&mut self, gateway: usize, mark: Mark) {
+    fn abort_runs(&mut self, gateway: usize, fingerprint: Fingerprint) {
         for engine in &mut self.engines {
             engine
                 .runs
-                .retain(|run| run.gateway != gateway || run.request.mark != mark);
+                .retain(|run| run.gateway != gateway || run.request.fingerprint != fingerprint);
         }
     }
 
@@ -660,13 +676,14 @@
         if own == digest {
             return;
         }
-        let grave = self.gateways[gateway].suspects.grave();
-        let messages = |(mark, case): (Mark, &Case)| {
-            let ends = case.ends.iter().map(|end| Message::End(*end));
-            ends.chain(case.cleared.map(|_| Message::Cleared(mark)))
+        let replicated_cases = self.gateways[gateway].suspects.replicated_cases();
+        let messages = |(fingerprint, case): (Fingerprint, &Case)| {
+            let crashes = case.crashes.iter().map(|crash| Message::Crash(*crash));
+            crashes
+                .chain(case.refuted_up_to.map(|_| Message::Cleared(fingerprint)))
                 .collect::<Vec<_>>()
         };
-        let messages: Vec<Message> = grave.flat_map(messages).collect();
+        let messages: Vec<Message> = replicated_cases.flat_map(messages).collect();
         for message in messages {
             self.send_message(gateway, from, message, 0);
         }
--- a/crates/gingerpier_serving/tests/unnamed.rs
+++ b/crates/gingerpier_serving/tests/unnamed.rs
@@ -12,7 +12,7 @@
     gingerpier_base::Instant,
     gingerpier_serving::{
         report::Version,
-        unnamed::{Known, Patience, Search, Seen},
+        unreleased::{Known, OriginFallback, OriginPoll, Seen},
     },
     proptest::prelude::*,
 };
@@ -48,7 +48,7 @@
 enum Disabled {
     Nothing,
     /// Gateways never ask the origin.
-    Search,
+    OriginPoll,
     /// Versions reported by engines take precedence over that of the origin.
     OriginPrecedence,
     /// Versions that the origin lacks are never dropped.
@@ -60,7 +60,7 @@
     up_at: u64,
     named: Option<Version>,
     found: Option<Version>,
-    search: Search,
+    origin_poll: OriginPoll,
     /// Versions being fetched or complete, with their number of chunks.
     fetched: Vec<(Version, usize)>,
 }
@@ -73,7 +73,7 @@
     named: Option<Version>,
     /// Newest version in the list of engines when it was last read.
     listed_version: Option<Version>,
-    patience: Patience,
+    origin_fallback: OriginFallback,
     /// Complete version, and since when.
     complete: Option<(Version, u64)>,
 }
@@ -187,9 +187,9 @@
         let fetched = &self.gateways[index].fetched;
         let seen = Seen {
             is_lacking: known.named.is_none() && self.engines.contains(&None),
-            is_known: known.wanted().is_some() || !fetched.is_empty(),
+            is_known: known.target().is_some() || !fetched.is_empty(),
             is_whole: known
-                .wanted()
+                .target()
                 .is_some_and(|version| fetched.contains(&(version, CHUNKS))),
             chunks: fetched.iter().map(|(_, chunks)| chunks).sum(),
             rank,
@@ -198,18 +198,18 @@
         let draw = self.draw(u64::MAX);
         let (origin, is_origin_available) = (self.origin, self.has_version(self.origin));
         let own = &mut self.gateways[index];
-        if self.disabled != Disabled::Search && own.search.is_due(&seen, now) {
+        if self.disabled != Disabled::OriginPoll && own.origin_poll.is_due(&seen, now) {
             match is_origin_available {
                 true => {
-                    own.search.note_found(now);
+                    own.origin_poll.record_response(now);
                     own.found = Some(origin);
                 }
-                false => own.search.note_failure(now, draw),
+                false => own.origin_poll.record_failure(now, draw),
             }
         }
         if self.disabled != Disabled::DropUnavailable {
             own.fetched
-                .retain(|(version, chunks)| *chunks > 0 || known.may_be_had(*version));
+                .retain(|(version, chunks)| *chunks > 0 || known.may_be_available(*version));
         }
         // A released version is fetched without a request.
         let is_fetched = |named: &Version| own.fetched.iter().any(|(version, _)| version == named);
@@ -228,7 +228,7 @@
             }
         }
         if self.now.is_multiple_of(REPORT_INTERVAL_MILLIS) {
-            let reported = known.wanted().filter(|_| known.named.is_none());
+            let reported = known.target().filter(|_| known.named.is_none());
             let reported = reported.map(|version| (version, known.found.is_some()));
             for loader in self.loaders.iter_mut().skip(index % ZONES).step_by(ZONES) {
                 if self.now >= loader.up_at {
@@ -260,13 +260,15 @@
             found: reported(true),
             held: own.listed_version.max(reported(false)),
         };
-        let wanted = match known.wanted() {
+        let wanted = match known.target() {
             Some(version) => {
-                own.patience.end();
+                own.origin_fallback.reset();
                 version
             }
-            None if is_held => return own.patience.end(),
-            None if own.patience.is_over(true, index as u64 * 150, now) => Version::default(),
+            None if is_held => return own.origin_fallback.reset(),
+            None if own.origin_fallback.is_over(true, index as u64 * 150, now) => {
+                Version::default()
+            }
             None => return,
         };
         if self.engines[index] >= Some(wanted) {
@@ -306,7 +308,7 @@
             is_here |= fetched.contains(&(wanted, CHUNKS));
             let is_newest = fetched.iter().all(|(version, _)| *version <= wanted);
             let is_on_its_way = fetched.iter().any(|(version, _)| *version == wanted);
-            if is_newest && !is_on_its_way && known.may_be_had(wanted) {
+            if is_newest && !is_on_its_way && known.may_be_available(wanted) {
                 own.fetched.push((wanted, 0));
             }
         }
@@ -355,7 +357,7 @@
 #[test]
 fn each_rule_is_needed() {
     for disabled in [
-        Disabled::Search,
+        Disabled::OriginPoll,
         Disabled::OriginPrecedence,
         Disabled::DropUnavailable,
     ] {
--- a/crates/gingerpier_serving/tests/watching.rs
+++ b/crates/gingerpier_serving/tests/watching.rs
@@ -4,7 +4,7 @@
     gingerpier_base::Instant,
     gingerpier_serving::{
         mirror::{Item, Mirror, Revision},
-        watching::{self, Failure, MAX_AGE_MILLIS, Step, WATCHERS, Watching},
+        watching::{self, Failure, MAX_AGE_MILLIS, Step, WATCHERS, WatcherSelection},
     },
     proptest::prelude::*,
     std::net::SocketAddr,
@@ -23,9 +23,9 @@
 }
 
 /// Returns the state of a member that started long ago.
-fn settled(own: SocketAddr, all: &[SocketAddr]) -> Watching {
-    let mut watching = Watching::new(own, at(0));
-    let first = watching.next(all, true, at(5_000));
+fn settled(own: SocketAddr, all: &[SocketAddr]) -> WatcherSelection {
+    let mut watching = WatcherSelection::new(own, at(0));
+    let first = watching.next_step(all, true, at(5_000));
     assert!(matches!(first, Step::Store | Step::Member(_)), "{first:?}");
     watching
 }
@@ -44,7 +44,7 @@
 #[test]
 fn designated_watchers_read_the_store_and_the_others_spread_over_them() {
     let all = members(13);
-    let step = |own: &SocketAddr| settled(*own, &all).next(&all, true, at(5_010));
+    let step = |own: &SocketAddr| settled(*own, &all).next_step(&all, true, at(5_010));
     let watching: Vec<SocketAddr> = all
         .iter()
         .copied()
@@ -73,15 +73,15 @@
 fn a_member_without_neighbours_reads_the_store() {
     let own = member(1);
     let mut watching = settled(own, &[]);
-    assert_eq!(watching.next(&[], true, at(5_010)), Step::Store);
-    assert_eq!(watching.next(&[own], true, at(5_020)), Step::Store);
+    assert_eq!(watching.next_step(&[], true, at(5_010)), Step::Store);
+    assert_eq!(watching.next_step(&[own], true, at(5_020)), Step::Store);
 }
 
 #[test]
 fn a_lone_starting_member_reads_the_store_within_a_second() {
-    let mut watching = Watching::new(member(1), at(0));
+    let mut watching = WatcherSelection::new(member(1), at(0));
     let step = (0..=100).find_map(|tenth| {
-        let step = watching.next(&[], false, at(tenth * 10));
+        let step = watching.next_step(&[], false, at(tenth * 10));
         (step == Step::Store).then_some(tenth * 10)
     });
     assert!(step.is_some_and(|millis| millis <= 1_000), "{step:?}");
@@ -93,15 +93,15 @@
     let mut readers = 0;
     for own in &all {
         let others: Vec<SocketAddr> = all.iter().copied().filter(|one| one != own).collect();
-        let mut watching = Watching::new(*own, at(0));
+        let mut watching = WatcherSelection::new(*own, at(0));
         let mut requests = 0;
-        while let Step::FirstCopy(member) = watching.next(&others, false, at(10)) {
+        while let Step::FirstCopy(member) = watching.next_step(&others, false, at(10)) {
             assert_ne!(member, *own);
-            watching.note_without_copy(member);
+            watching.record_missing_copy(member);
             requests += 1;
         }
         assert_eq!(requests, others.len());
-        match watching.next(&others, false, at(400)) {
+        match watching.next_step(&others, false, at(400)) {
             Step::Store => readers += 1,
             Step::Member(member) => assert!(watchers(&all).contains(&member)),
             other => panic!("{other:?}"),
@@ -124,27 +124,30 @@
     let mut watching = settled(own, &all);
     let mut skipped = Vec::new();
     let mut now = at(5_010);
-    while let Step::Member(member) = watching.next(&all, true, now) {
+    while let Step::Member(member) = watching.next_step(&all, true, now) {
         assert!(
             !skipped.contains(&member),
             "{member} did not respond before"
         );
         skipped.push(member);
-        watching.note_failure(member, Failure::Silent, now);
+        watching.record_failure(member, Failure::Silent, now);
         now = now.after_millis(10);
     }
     assert!(skipped.len() >= WATCHERS);
     // No member ahead is left: it probes the store, and then replaces a watcher.
-    assert_eq!(watching.next(&all, true, now), Step::Probe);
-    watching.note_probe(true, 10, now);
-    assert_eq!(watching.next(&all, true, now), Step::Store);
+    assert_eq!(watching.next_step(&all, true, now), Step::Probe);
+    watching.record_probe(true, 10, now);
+    assert_eq!(watching.next_step(&all, true, now), Step::Store);
     assert_eq!(
-        watching.next(&all, true, now),
+        watching.next_step(&all, true, now),
         Step::Probe,
         "one read per probe"
     );
     let later = now.after_millis(10_000);
-    assert!(matches!(watching.next(&all, true, later), Step::Member(_)));
+    assert!(matches!(
+        watching.next_step(&all, true, later),
+        Step::Member(_)
+    ));
 }
 
 #[test]
@@ -153,25 +156,25 @@
     let own = followers(&all)[0];
     let mut watching = settled(own, &all);
     let mut now = at(5_010);
-    while let Step::Member(member) = watching.next(&all, true, now) {
-        watching.note_failure(member, Failure::Old, now);
+    while let Step::Member(member) = watching.next_step(&all, true, now) {
+        watching.record_failure(member, Failure::Old, now);
     }
-    assert_eq!(watching.next(&all, true, now), Step::Probe);
-    watching.note_probe(true, 300, now);
-    let Step::Member(member) = watching.next(&all, true, now) else {
+    assert_eq!(watching.next_step(&all, true, now), Step::Probe);
+    watching.record_probe(true, 300, now);
+    let Step::Member(member) = watching.next_step(&all, true, now) else {
         panic!("stale members are accepted again")
     };
-    assert!(watching.most_age_millis(member, now) > 60_000);
+    assert!(watching.max_age_millis(member, now) > 60_000);
     now = now.after_millis(700);
-    assert!(watching.most_age_millis(member, now) <= MAX_AGE_MILLIS);
-    while let Step::Member(member) = watching.next(&all, true, now) {
-        watching.note_failure(member, Failure::Old, now);
+    assert!(watching.max_age_millis(member, now) <= MAX_AGE_MILLIS);
+    while let Step::Member(member) = watching.next_step(&all, true, now) {
+        watching.record_failure(member, Failure::Old, now);
     }
     // Nobody else may reach the store, so it becomes a replacement although the store is still
     // slow.
-    assert_eq!(watching.next(&all, true, now), Step::Probe);
-    watching.note_probe(true, 300, now);
-    assert_eq!(watching.next(&all, true, now), Step::Store);
+    assert_eq!(watching.next_step(&all, true, now), Step::Probe);
+    watching.record_probe(true, 300, now);
+    assert_eq!(watching.next_step(&all, true, now), Step::Store);
 }
 
 /// Guards against a stale configuration while both watchers are suspended: a slow probe must not
@@ -182,12 +185,12 @@
     let own = followers(&all)[0];
     let mut watching = settled(own, &all);
     let now = at(5_010);
-    while let Step::Member(member) = watching.next(&all, true, now) {
-        watching.note_failure(member, Failure::Silent, now);
+    while let Step::Member(member) = watching.next_step(&all, true, now) {
+        watching.record_failure(member, Failure::Silent, now);
     }
-    assert_eq!(watching.next(&all, true, now), Step::Probe);
-    watching.note_probe(true, 340, now);
-    assert_eq!(watching.next(&all, true, now), Step::Store);
+    assert_eq!(watching.next_step(&all, true, now), Step::Probe);
+    watching.record_probe(true, 340, now);
+    assert_eq!(watching.next_step(&all, true, now), Step::Store);
 }
 
 #[test]
@@ -199,9 +202,9 @@
     for own in followers(&all) {
         for (unresponsive, remaining) in [(first, second), (second, first)] {
             let mut watching = settled(own, &all);
-            watching.note_failure(unresponsive, Failure::Silent, at(5_010));
+            watching.record_failure(unresponsive, Failure::Silent, at(5_010));
             assert_eq!(
-                watching.next(&all, true, at(5_010)),
+                watching.next_step(&all, true, at(5_010)),
                 Step::Member(remaining)
             );
         }
@@ -210,22 +213,22 @@
 
 /// Returns how many members read the store in full within `millis` while the store doesn't respond.
 fn count_readers(all: &[SocketAddr], millis: u64) -> usize {
-    let mut members: Vec<(SocketAddr, Watching)> =
+    let mut members: Vec<(SocketAddr, WatcherSelection)> =
         all.iter().map(|own| (*own, settled(*own, all))).collect();
     let last_response = at(5_000);
     let mut readers = std::collections::BTreeSet::new();
     for step in 0..millis / 10 {
         let now = last_response.after_millis(step * 10);
         for (own, watching) in &mut members {
-            match watching.next(all, true, now) {
+            match watching.next_step(all, true, now) {
                 Step::Store => {
                     readers.insert(*own);
                 }
-                Step::Probe => watching.note_probe(true, 10, now),
+                Step::Probe => watching.record_probe(true, 10, now),
                 Step::Member(member) => {
                     let age = now.millis_since(last_response);
-                    if age > watching.most_age_millis(member, now) {
-                        watching.note_failure(member, Failure::Old, now);
+                    if age > watching.max_age_millis(member, now) {
+                        watching.record_failure(member, Failure::Old, now);
                     }
                 }
                 Step::FirstCopy(_) | Step::Wait(_) => {}
@@ -273,16 +276,16 @@
     let mut follower = Mirror::default();
     store.apply(vec![item(1, 1, true)], Revision(1));
     follower.apply(
-        store.changes_after(follower.at()).expect("known"),
-        store.at(),
+        store.changes_after(follower.revision()).expect("known"),
+        store.revision(),
     );
     store.apply(vec![item(1, 2, false)], Revision(2));
     watcher.apply(
-        store.changes_after(watcher.at()).expect("known"),
-        store.at(),
+        store.changes_after(watcher.revision()).expect("known"),
+        store.revision(),
     );
-    let changes = watcher.changes_after(follower.at()).expect("known");
-    follower.apply(changes, watcher.at());
+    let changes = watcher.changes_after(follower.revision()).expect("known");
+    follower.apply(changes, watcher.revision());
     assert_eq!(follower.items().count(), 0);
 }
 
@@ -305,7 +308,7 @@
         write(&mut watcher, key, 1);
     }
     let mut follower = Mirror::default();
-    follower.replace(watcher.items().collect(), watcher.at());
+    follower.replace(watcher.items().collect(), watcher.revision());
     let before = watcher.change_count();
     for _ in 0..10 {
         for key in 0..ENGINES {
@@ -316,13 +319,13 @@
         }
     }
     assert_eq!(watcher.change_count(), before);
-    let sent = watcher.changes_after(follower.at()).expect("known");
+    let sent = watcher.changes_after(follower.revision()).expect("known");
     assert_eq!(sent.len(), 0, "{} changes for one follower", sent.len());
-    follower.apply(sent, watcher.at());
-    assert_eq!(follower.at(), watcher.at());
+    follower.apply(sent, watcher.revision());
+    assert_eq!(follower.revision(), watcher.revision());
     // Changes are sent, also to a follower that is far behind.
     write(&mut watcher, 7, 2);
-    let sent = watcher.changes_after(follower.at()).expect("known");
+    let sent = watcher.changes_after(follower.revision()).expect("known");
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].value.as_deref(), Some(&[2][..]));
 }
@@ -368,28 +371,28 @@
             match event {
                 // The watcher reads a full copy, or applies changes.
                 0 => {
-                    watcher.replace(store.items().collect(), store.at());
+                    watcher.replace(store.items().collect(), store.revision());
                 }
                 1 => {
-                    let changes = store.changes_after(watcher.at()).expect("the store has the full history");
-                    watcher.apply(changes, store.at());
+                    let changes = store.changes_after(watcher.revision()).expect("the store has the full history");
+                    watcher.apply(changes, store.revision());
                 }
-                2 => match watcher.changes_after(follower.at()) {
-                    Some(changes) => drop(follower.apply(changes, watcher.at())),
-                    None => drop(follower.replace(watcher.items().collect(), watcher.at())),
+                2 => match watcher.changes_after(follower.revision()) {
+                    Some(changes) => drop(follower.apply(changes, watcher.revision())),
+                    None => drop(follower.replace(watcher.items().collect(), watcher.revision())),
                 },
                 // The follower reads the store itself and gets ahead of the watcher.
                 3 => {
-                    let changes = store.changes_after(follower.at()).expect("the store has the full history");
-                    follower.apply(changes, store.at());
+                    let changes = store.changes_after(follower.revision()).expect("the store has the full history");
+                    follower.apply(changes, store.revision());
                 }
                 _ => {}
             }
         }
-        watcher.replace(store.items().collect(), store.at());
-        match watcher.changes_after(follower.at()) {
-            Some(changes) => drop(follower.apply(changes, watcher.at())),
-            None => drop(follower.replace(watcher.items().collect(), watcher.at())),
+        watcher.replace(store.items().collect(), store.revision());
+        match watcher.changes_after(follower.revision()) {
+            Some(changes) => drop(follower.apply(changes, watcher.revision())),
+            None => drop(follower.replace(watcher.items().collect(), watcher.revision())),
         }
         let content = |mirror: &Mirror| -> Vec<_> {
             mirror.items().map(|item| (item.key, item.value)).collect()
@@ -398,6 +401,6 @@
         for (copied, original) in follower.items().zip(store.items()) {
             prop_assert!(copied.revision <= original.revision);
         }
-        prop_assert_eq!(follower.at(), store.at());
+        prop_assert_eq!(follower.revision(), store.revision());
     }
 }
--- a/crates/gingerpier_serving/tests/zones.rs
+++ b/crates/gingerpier_serving/tests/zones.rs
@@ -3,7 +3,7 @@
 
 use {
     gingerpier_base::{Instant, order},
-    gingerpier_serving::zones::{DIGEST_SENDERS, Exchange, Heading, Reception},
+    gingerpier_serving::zones::{Acceptance, DIGEST_SENDERS, Exchange, Header},
     proptest::prelude::*,
     std::net::SocketAddr,
 };
@@ -139,11 +139,11 @@
             .collect();
         for gateway in &mut self.gateways {
             for (zone, member) in &alive {
-                let is_polling = gateway.exchange.sample(&zone_name(*zone), now) > 0;
+                let is_polling = gateway.exchange.sample_size(&zone_name(*zone), now) > 0;
                 if *zone == gateway.zone || is_polling {
                     gateway
                         .exchange
-                        .note_member(&zone_name(*zone), *member, now);
+                        .record_member(&zone_name(*zone), *member, now);
                 }
             }
         }
@@ -156,7 +156,10 @@
             if !self.gateways[index].is_alive {
                 continue;
             }
-            self.gateways[index].exchange.liveness().note_heard(now);
+            self.gateways[index]
+                .exchange
+                .liveness()
+                .record_received(now);
             for member in self.gateways[index].exchange.liveness().poll(now) {
                 if self.send_updates(index, member) {
                     let other = self.index_of(member);
@@ -176,7 +179,7 @@
     fn send_updates(&mut self, index: usize, to: SocketAddr) -> bool {
         let now = at(self.millis);
         let liveness = self.gateways[index].exchange.liveness();
-        let (updates, incarnation) = (liveness.news_for(to), liveness.incarnation());
+        let (updates, incarnation) = (liveness.updates_for(to), liveness.incarnation());
         let from = self.gateways[index].address;
         let Some(receiver_index) = self
             .index_of(to)
@@ -185,8 +188,8 @@
             return false;
         };
         let receiver = self.gateways[receiver_index].exchange.liveness();
-        receiver.note_alive(from, incarnation, now);
-        receiver.take(&updates, now);
+        receiver.record_message(from, incarnation, now);
+        receiver.apply_updates(&updates, now);
         true
     }
 
@@ -251,17 +254,17 @@
                 .find(|one| one.address == packet.to);
             let Some(receiver) = receiver else { continue };
             let zone = zone_name(packet.zone);
-            let heading = Heading {
+            let header = Header {
                 zone: &zone,
                 sender: packet.sender,
                 stamp: packet.stamp,
                 part: 0,
                 gateway_count: packet.count,
             };
-            if receiver.exchange.take(&heading, now) == Reception::Old {
+            if receiver.exchange.accept(&header, now) == Acceptance::Old {
                 continue;
             }
-            receiver.exchange.note_member(&zone, packet.sender, now);
+            receiver.exchange.record_member(&zone, packet.sender, now);
             if packet.is_forwarded {
                 continue;
             }
@@ -282,7 +285,9 @@
         alive
             .flat_map(|gateway| (0..ZONES).map(move |zone| (gateway, zone)))
             .filter(|(gateway, zone)| gateway.zone != *zone)
-            .filter(move |(gateway, zone)| !gateway.exchange.is_heard(&zone_name(*zone), now))
+            .filter(move |(gateway, zone)| {
+                !gateway.exchange.has_recent_digest(&zone_name(*zone), now)
+            })
     }
 
     /// Counts [`Self::silent_pairs`].
@@ -411,15 +416,15 @@
     for gateway in network.gateways.iter_mut().filter(|one| one.zone == 2) {
         gateway.is_alive = false;
     }
-    let sample = |network: &Network| {
+    let sample_size = |network: &Network| {
         let now = at(network.millis);
-        network.gateways[0].exchange.sample(&zone_name(2), now)
+        network.gateways[0].exchange.sample_size(&zone_name(2), now)
     };
-    assert_eq!(sample(&network), 0);
+    assert_eq!(sample_size(&network), 0);
     let mut samples = Vec::new();
     for _ in 0..8 {
         network.run(1_000);
-        samples.push(sample(&network));
+        samples.push(sample_size(&network));
     }
     assert!(samples.is_sorted(), "{samples:?}");
     assert!(samples[1] > 0, "polled within two seconds: {samples:?}");
@@ -431,17 +436,17 @@
     let zones = zone_names();
     let own = address(0, 0);
     let mut exchange = Exchange::new(own, "zone-0", zones.iter().map(String::as_str), at(0));
-    let heading = |stamp: u64| Heading {
+    let header = |stamp: u64| Header {
         zone: "zone-1",
         sender: address(1, 0),
         stamp,
         part: 0,
         gateway_count: 3,
     };
-    assert_eq!(exchange.take(&heading(90_000), at(0)), Reception::News);
-    assert_eq!(exchange.take(&heading(89_000), at(100)), Reception::Old);
-    assert_eq!(exchange.take(&heading(300), at(2_300)), Reception::News);
-    assert_eq!(exchange.take(&heading(800), at(2_800)), Reception::News);
+    assert_eq!(exchange.accept(&header(90_000), at(0)), Acceptance::News);
+    assert_eq!(exchange.accept(&header(89_000), at(100)), Acceptance::Old);
+    assert_eq!(exchange.accept(&header(300), at(2_300)), Acceptance::News);
+    assert_eq!(exchange.accept(&header(800), at(2_800)), Acceptance::News);
 }
 
 #[test]
@@ -452,7 +457,7 @@
     for gateway in &network.gateways {
         let other = zone_name((gateway.zone + 1) % ZONES);
         assert!(gateway.exchange.is_direct(now));
-        assert_eq!(gateway.exchange.sample(&other, now), usize::MAX);
+        assert_eq!(gateway.exchange.sample_size(&other, now), usize::MAX);
     }
     network.sent_between_zones = 0;
     network.run(5_000);
@@ -468,7 +473,7 @@
         !exchange.is_direct(at(60_000)),
         "no gateway was mentioned yet"
     );
-    exchange.note_member("zone-0", address(0, 1), at(60_000));
+    exchange.record_member("zone-0", address(0, 1), at(60_000));
     assert!(!exchange.is_direct(at(60_500)));
     assert!(exchange.is_direct(at(61_000)));
 }
@@ -479,21 +484,21 @@
     let own = address(0, 0);
     let mut exchange = Exchange::new(own, "zone-0", zones.iter().map(String::as_str), at(0));
     for number in 0..4 {
-        exchange.note_member("zone-0", address(0, number), at(0));
+        exchange.record_member("zone-0", address(0, number), at(0));
     }
     assert_eq!(
         exchange.gateway_count(),
         12,
         "each zone as large as the own one"
     );
-    let heading = Heading {
+    let header = Header {
         zone: "zone-1",
         sender: address(1, 0),
         stamp: 1,
         part: 0,
         gateway_count: 9,
     };
-    exchange.take(&heading, at(10));
+    exchange.accept(&header, at(10));
     assert_eq!(exchange.gateway_count(), 4 + 9 + 4);
 }
 
@@ -536,9 +541,9 @@
         let mut exchange = Exchange::new(address(0, 0), "zone-0", zones.iter().map(String::as_str), at(0));
         let mut newest = None;
         for (index, stamp) in stamps.into_iter().enumerate() {
-            let heading = Heading { zone: "zone-1", sender: address(1, 0), stamp, part: 0, gateway_count: 1 };
-            let acceptance = exchange.take(&heading, at(index as u64));
-            prop_assert_eq!(acceptance == Reception::News, Some(stamp) > newest);
+            let header = Header { zone: "zone-1", sender: address(1, 0), stamp, part: 0, gateway_count: 1 };
+            let acceptance = exchange.accept(&header, at(index as u64));
+            prop_assert_eq!(acceptance == Acceptance::News, Some(stamp) > newest);
             newest = newest.max(Some(stamp));
         }
     }
