--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -49,7 +49,7 @@
     /// Availability zone.
     pub zone: String,
     /// Timestamp of its last subscription message, by its own clock.
-    pub stamp: u64,
+    pub timestamp_millis: u64,
     /// Time of its last subscription message.
     pub last_seen: Instant,
     /// True once the gateway list was sent to it.
@@ -59,7 +59,7 @@
     /// Digest of the engines and origins in that configuration.
     pub weights_digest: u64,
     /// Unreleased versions that it reports as available.
-    pub unnamed: Vec<message::UnreleasedVersion>,
+    pub unreleased: Vec<message::UnreleasedVersion>,
 }
 
 /// A machine with an engine of the same service.
@@ -85,9 +85,9 @@
     /// Addresses of the seed gateways for loaders.
     seeds: Vec<SocketAddr>,
     /// Platform protocol.
-    pub dialect: &'static dyn PlatformApi,
+    pub protocol: &'static dyn PlatformApi,
     /// Parser of store items.
-    pub items: Parser,
+    pub item_parser: Parser,
     /// Chunk cache and transfers.
     pub distributor: Rc<Distributor>,
     /// Subscribed gateways by address.
@@ -115,14 +115,14 @@
 
 impl Loader {
     /// Creates a loader without any data.
-    pub fn new(settings: Settings, dialect: &'static dyn PlatformApi) -> Self {
+    pub fn new(settings: Settings, protocol: &'static dyn PlatformApi) -> Self {
         let link = settings.link_bits_per_second;
-        let distributor = Rc::new(Distributor::for_engine(dialect, settings.engine, link));
+        let distributor = Rc::new(Distributor::for_engine(protocol, settings.engine, link));
         Self {
             seeds: Self::seeds(&settings),
             settings,
-            dialect,
-            items: Parser::new(dialect),
+            protocol,
+            item_parser: Parser::new(protocol),
             distributor,
             engine_lock: Mutex::new(()),
             subscribers: RefCell::default(),
@@ -287,13 +287,13 @@
         View {
             gateways: informed_gateways,
             seeds: &self.seeds,
-            zone_gateway_count: self.near_gateway_count(),
+            zone_gateway_count: self.zone_gateway_count(),
             knowledge: self.knowledge(),
         }
     }
 
     /// Number of subscribed gateways in this zone.
-    pub fn near_gateway_count(&self) -> usize {
+    pub fn zone_gateway_count(&self) -> usize {
         let subscribers = self.subscribers.borrow();
         let values = subscribers.values();
         values
@@ -325,10 +325,10 @@
 /// # Errors
 ///
 /// If a socket can't be bound or a signal handler can't be installed.
-pub async fn run(settings: Settings, dialect: &'static dyn PlatformApi) -> Result<(), Error> {
+pub async fn run(settings: Settings, protocol: &'static dyn PlatformApi) -> Result<(), Error> {
     let lines = log::start();
     let peer = settings.peers;
-    let bind_error = |step| move |what| Error::Io { step, peer, what };
+    let bind_error = |step| move |cause| Error::Io { step, peer, cause };
     let listener = TcpListener::bind(peer).await;
     let listener = listener.map_err(bind_error(Step::ListenPeers))?;
     let socket = UdpSocket::bind(peer).await;
@@ -338,7 +338,7 @@
     let hangup = signal(SignalKind::hangup());
     let mut hangup = hangup.map_err(bind_error(Step::Signals))?;
     tracing::info!(name = settings.name, zone = settings.zone, engine = %settings.engine, "loader starts");
-    let loader = Rc::new(Loader::new(settings, dialect));
+    let loader = Rc::new(Loader::new(settings, protocol));
     actix_rt::spawn(clock::watch());
     actix_rt::spawn(sync::run(loader.clone()));
     actix_rt::spawn(peers::serve(loader.distributor.clone(), listener));
--- a/crates/gingerpier_gateway/src/members.rs
+++ b/crates/gingerpier_gateway/src/members.rs
@@ -4,7 +4,7 @@
     crate::{
         clock,
         message::{self, Datagram, GatewayList, Member, MemberUpdate, Probe},
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
     },
     gingerpier_serving::{liveness::Update, zones::Exchange},
@@ -50,10 +50,10 @@
 /// Applies membership updates of `from`, a gateway of the own zone.
 pub fn apply_updates(zones: &mut Exchange, from: SocketAddr, probe: &Probe) {
     let now = clock::now();
-    let updates = probe.news.iter().map(|update| Update {
+    let updates = probe.updates.iter().map(|update| Update {
         member: update.address,
         incarnation: update.incarnation,
-        is_dead: update.is_gone,
+        is_dead: update.is_dead,
     });
     let updates: Vec<Update> = updates.collect();
     let liveness = zones.liveness();
@@ -67,17 +67,19 @@
     let updates = updates.map(|update| MemberUpdate {
         address: update.member,
         incarnation: update.incarnation,
-        is_gone: update.is_dead,
+        is_dead: update.is_dead,
     });
     Probe {
         incarnation: liveness.incarnation(),
-        news: updates.collect(),
+        updates: updates.collect(),
     }
 }
 
 fn send(state: &State, socket: &UdpSocket, message: &Datagram, receiver: SocketAddr) {
     let bytes = message::encode(message);
-    state.metrics.note_message(Kind::Probe, bytes.len());
+    state
+        .metrics
+        .record_message(MessageKind::Probe, bytes.len());
     // A datagram that is not sent counts as lost; the probe is repeated.
     let _ = socket.try_send_to(&bytes, receiver);
 }
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -4,7 +4,7 @@
     crate::{
         clock, discovery, members,
         message::{self, Datagram, Load, Member, Subscribe},
-        metrics::Kind,
+        metrics::MessageKind,
         state::State,
         suspects, zones,
     },
@@ -40,7 +40,7 @@
         for loader in &loaders {
             state
                 .metrics
-                .note_message(Kind::Subscription, message.len());
+                .record_message(MessageKind::Subscription, message.len());
             // A datagram that is not sent counts as lost; the next subscription replaces it.
             let _ = socket.try_send_to(&message, *loader);
         }
@@ -59,13 +59,13 @@
     let configuration = state.configuration();
     Subscribe {
         zone: state.settings.zone.clone(),
-        named: state.releases(),
-        stamp: clock::now().as_millis(),
+        releases: state.releases(),
+        timestamp_millis: clock::now().as_millis(),
         configuration: configuration
             .as_ref()
             .map_or(0, |configuration| configuration.version),
         weights_digest: configuration.map_or(0, |configuration| configuration.weights_digest()),
-        unnamed: state.unreleased_versions(),
+        unreleased: state.unreleased_versions(),
     }
 }
 
@@ -73,7 +73,7 @@
 fn loaders(state: &State) -> BTreeSet<SocketAddr> {
     let port = state.settings.peers.port();
     let Some(configuration) = state.configuration() else {
-        let bootstrap = state.first_loaders.borrow();
+        let bootstrap = state.bootstrap_loaders.borrow();
         return bootstrap
             .iter()
             .map(|ip| SocketAddr::new(*ip, port))
@@ -134,7 +134,7 @@
             .record_received(clock::now());
         match message::decode(&bytes[..length]) {
             Some(Datagram::Load(load)) => {
-                state.metrics.note_message(Kind::Report, length);
+                state.metrics.record_message(MessageKind::Report, length);
                 apply_report(&state, &load);
             }
             Some(Datagram::Digest(digest)) => zones::receive_digest(&state, &socket, digest),
@@ -168,7 +168,7 @@
             engine.warmth.note_doubt(clock::now());
             tracing::info!(
                 engine = engine.record.id,
-                born = load.born,
+                born = load.start_time_millis,
                 "engine has started again"
             );
         }
@@ -176,8 +176,8 @@
             state.zones.borrow_mut().request_early_digest();
         }
         engine.note_report(report, clock::now());
-        if load.echo > 0 {
-            engine.note_echo(Instant::from_millis(load.echo));
+        if load.echoed_timestamp_millis > 0 {
+            engine.note_echo(Instant::from_millis(load.echoed_timestamp_millis));
         }
     }
 }
--- a/crates/gingerpier_gateway/src/state/naming.rs
+++ b/crates/gingerpier_gateway/src/state/release.rs
@@ -4,7 +4,7 @@
     super::State,
     crate::{clock, message},
     gingerpier_serving::{
-        admission::Due,
+        admission::Cutover,
         platform_api::ModelVersion,
         release::{LOCAL, Release, Releases},
         report::Version,
@@ -35,7 +35,7 @@
     }
 
     /// Newest release of each model.
-    pub fn named(&self) -> Vec<ModelVersion> {
+    pub fn newest_releases(&self) -> Vec<ModelVersion> {
         let releases = self.releases.borrow();
         let newest = |(model, model_releases): (&String, &Releases)| {
             Some(ModelVersion {
@@ -47,14 +47,14 @@
     }
 
     /// Newest released version of `model`.
-    pub fn newest_named(&self, model: &str) -> Option<Version> {
+    pub fn newest_release(&self, model: &str) -> Option<Version> {
         let releases = self.releases.borrow();
         Some(releases.get(model)?.newest()?.version)
     }
 
     /// True if another process may already have a part of the version: it is no release, is known
     /// for `millis`, or may have been released before this process began to run.
-    pub fn may_be_held(&self, release: &ModelVersion, millis: u64) -> bool {
+    pub fn may_be_distributed(&self, release: &ModelVersion, millis: u64) -> bool {
         let releases = self.releases.borrow();
         let model_releases = releases
             .get(&release.model)
@@ -77,14 +77,14 @@
             Some(message::ReportedRelease {
                 model: model.clone(),
                 version: newest.version.0,
-                age: now.millis_since(newest.released_at),
+                age_millis: now.millis_since(newest.released_at),
             })
         };
         releases.iter().filter_map(newest).collect()
     }
 
     /// Past and coming cutovers of `model`.
-    pub fn cutovers(&self, model: &str) -> Vec<Due> {
+    pub fn cutovers(&self, model: &str) -> Vec<Cutover> {
         let releases = self.releases.borrow();
         let model_releases = releases.get(model).into_iter().flat_map(Releases::iter);
         model_releases
@@ -92,8 +92,8 @@
             .collect()
     }
 
-    fn cutover_of(&self, release: &Release) -> Due {
-        Due {
+    fn cutover_of(&self, release: &Release) -> Cutover {
+        Cutover {
             version: release.version,
             at: release.expires_at(self.settings.version_within.0),
         }
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Distributor,
-    crate::{client::Client, clock, figures, store_sharing},
+    crate::{client::Client, clock, loader_configuration, store_sharing},
     bytes::Bytes,
     gingerpier_http1::{connection::Connection, head::Request, writer::Message},
     gingerpier_serving::{platform_api::ModelVersion, report::Version},
@@ -108,7 +108,7 @@
 }
 
 async fn serve_connection(distributor: &Distributor, mut connection: Connection) {
-    if distributor.pace.is_some() {
+    if distributor.pacer.is_some() {
         connection.use_small_buffers();
     }
     loop {
@@ -118,8 +118,8 @@
         let response = build_response(distributor, &request).await;
         // Sends chunks one after the other and paced, as the link also carries engine responses.
         let _permit = distributor.upload_permits.acquire().await;
-        if let Some(pace) = &distributor.pace {
-            let send_at = pace.borrow_mut().reserve(response.len(), clock::now());
+        if let Some(pacer) = &distributor.pacer {
+            let send_at = pacer.borrow_mut().reserve(response.len(), clock::now());
             clock::until(send_at).await;
         }
         let deadline = clock::now().after_millis(WRITE_TIMEOUT_MILLIS);
@@ -132,8 +132,8 @@
 
 async fn build_response(distributor: &Distributor, request: &Request) -> Vec<u8> {
     let target = std::str::from_utf8(request.target()).unwrap_or_default();
-    if target == figures::PATH {
-        return figures::reply(distributor);
+    if target == loader_configuration::PATH {
+        return loader_configuration::respond(distributor);
     }
     let Some(peer_request) = PeerRequest::parse(target) else {
         return Message::response(404).body(b"");
@@ -186,7 +186,7 @@
         return None;
     }
     let call = distributor
-        .dialect
+        .protocol
         .staged_chunk(&peer_request.model_version.model, chunk);
     let mut client = Client::new(engine);
     let response = client.call(&call, ENGINE_TIMEOUT_MILLIS).await.ok()?;
--- a/crates/gingerpier_serving/src/suspects.rs
+++ b/crates/gingerpier_serving/src/suspects.rs
@@ -483,16 +483,16 @@
     }
 
     fn is_common_failure(&self, crash: &Crash) -> bool {
-        let is_simultaneous = |crash: &&EngineCrash| {
-            crash
+        let is_simultaneous = |other: &&EngineCrash| {
+            other
                 .at
                 .millis_since(crash.at)
-                .max(crash.at.millis_since(crash.at))
+                .max(crash.at.millis_since(other.at))
                 <= COMMON_FAILURE_WINDOW_MILLIS
         };
         let simultaneous = self.recent_crashes.iter().filter(is_simultaneous);
-        let (count, fleet_size) = simultaneous.fold((0, 0), |(count, fleet_size), crash| {
-            (count + 1, fleet_size.max(crash.fleet_size))
+        let (count, fleet_size) = simultaneous.fold((0, 0), |(count, fleet_size), other| {
+            (count + 1, fleet_size.max(other.fleet_size))
         });
         count >= COMMON_FAILURE_MIN_ENGINES.max(fleet_size / COMMON_FAILURE_DIVISOR)
     }
