--- a/crates/gingerpier_gateway/src/proxy/forward.rs
+++ b/crates/gingerpier_gateway/src/proxy/forward.rs
@@ -296,12 +296,12 @@
         progress: &mut Progress,
         in_flight: &mut InFlight,
     ) -> AttemptOutcome {
-        let names = self.state.dialect.header_names();
+        let header_names = self.state.protocol.header_names();
         let head = &response.head;
-        let is_refused = head.status == 421 || head.fields.get(names.not_run).is_some();
+        let is_refused = head.status == 421 || head.fields.get(header_names.not_run).is_some();
         let is_success = (200..300).contains(&head.status);
         if is_success {
-            let is_sealed = head.fields.get(names.signature).is_some();
+            let is_sealed = head.fields.get(header_names.signature).is_some();
             if is_refused || !is_sealed || head.fields.get("content-encoding").is_some() {
                 return AttemptOutcome::Failed(attempt::invalid_response());
             }
@@ -375,7 +375,7 @@
     pub(super) fn record_completion(&self, head: &Response) {
         let version = head
             .fields
-            .number(self.state.dialect.header_names().version);
+            .number(self.state.protocol.header_names().version);
         let version = Version(version.unwrap_or_default());
         self.state
             .record_completion(self.request.fingerprint, version);
--- a/crates/gingerpier_gateway/src/weights/origin_poll.rs
+++ b/crates/gingerpier_gateway/src/weights/origin_poll.rs
@@ -73,7 +73,7 @@
                 .distributor
                 .is_complete(&ModelVersion { model, version })
         }),
-        chunks: fetch_status.chunks,
+        chunks: fetch_status.chunk_count,
         rank: rank(state, model),
     }
 }
