--- a/crates/gingerpier_gateway/src/state/store_contact.rs
+++ b/crates/gingerpier_gateway/src/state/store_contact.rs
@@ -58,7 +58,7 @@
             tracing::info!(
                 revision = revision.0,
                 millis,
-                "store is reachable again; engines with missing entries are kept for now"
+                "store reachable again; engines with missing entries are kept for now"
             );
         }
     }
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -237,7 +237,7 @@
 }
 
 fn watcher_client(member: SocketAddr) -> Client {
-    tracing::info!(watcher = %member, "polling a gateway that watches the store");
+    tracing::info!(watcher = %member, "store is followed through a gateway");
     Client::accepting_compression(member)
 }
 
