--- a/crates/gingerpier_gateway/src/loader_configuration.rs
+++ b/crates/gingerpier_gateway/src/loader_configuration.rs
@@ -19,10 +19,10 @@
     gingerpier_http1::writer::Message,
     gingerpier_serving::{
         configuration::{EngineModel, Origin, Service, ServiceKind, Services},
-        dialect::{self, Call},
         engine::Engine,
         fleet::{Fleet, Record, State as EngineState},
         mirror::Revision,
+        platform_api::{self, ApiRequest},
         report::Report,
     },
     std::{net::SocketAddr, rc::Rc},
@@ -86,7 +86,7 @@
 /// message.
 pub async fn fetch(gateway: SocketAddr) -> Result<LoaderConfiguration, Error> {
     let mut client = Client::new(gateway);
-    let request = Call::get(PATH.to_owned());
+    let request = ApiRequest::get(PATH.to_owned());
     let response = client.call(&request, RESPONSE_TIMEOUT_MILLIS).await?;
     let invalid = |cause| Error::Response {
         step: Step::Parse,
@@ -94,11 +94,11 @@
         cause,
     };
     if response.head.status != 200 {
-        return Err(invalid(dialect::Error::Status(response.head.status)));
+        return Err(invalid(platform_api::Error::Status(response.head.status)));
     }
     let message: Option<ConfigurationPart> = message::decode(&response.body);
     let message = message.ok_or_else(|| {
-        invalid(dialect::Error::Malformed {
+        invalid(platform_api::Error::Malformed {
             place: "figures".to_owned(),
             what: "not understood".to_owned(),
         })
--- a/crates/gingerpier_gateway/src/message/suspects.rs
+++ b/crates/gingerpier_gateway/src/message/suspects.rs
@@ -3,9 +3,9 @@
 use {
     gingerpier_base::Instant,
     gingerpier_serving::{
-        mark::{LENGTH, Mark},
+        fingerprint::{Fingerprint, LENGTH_BYTES},
         report::Version,
-        suspects::{End, Incarnation},
+        suspects::{Crash, Incarnation},
         trials::Trial,
     },
     minicbor::{Decode, Encode},
@@ -15,15 +15,15 @@
 /// Fingerprint of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
-pub struct FingerprintBytes(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH]);
+pub struct FingerprintBytes(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH_BYTES]);
 
-impl From<Mark> for FingerprintBytes {
-    fn from(mark: Mark) -> Self {
+impl From<Fingerprint> for FingerprintBytes {
+    fn from(mark: Fingerprint) -> Self {
         Self(mark.0)
     }
 }
 
-impl From<FingerprintBytes> for Mark {
+impl From<FingerprintBytes> for Fingerprint {
     fn from(bytes: FingerprintBytes) -> Self {
         Self(bytes.0)
     }
@@ -51,9 +51,9 @@
 
 impl CrashUpdate {
     /// Encodes `crash` at `now`.
-    pub fn new(crash: &End, now: Instant) -> Self {
+    pub fn new(crash: &Crash, now: Instant) -> Self {
         Self {
-            fingerprint: crash.mark.into(),
+            fingerprint: crash.fingerprint.into(),
             account: crash.account,
             engine: crash.engine.0,
             version: crash.version.0,
@@ -62,9 +62,9 @@
     }
 
     /// Decodes the crash, received at `now`.
-    pub fn crash(&self, now: Instant) -> End {
-        End {
-            mark: self.fingerprint.into(),
+    pub fn crash(&self, now: Instant) -> Crash {
+        Crash {
+            fingerprint: self.fingerprint.into(),
             account: self.account,
             engine: Incarnation(self.engine),
             version: Version(self.version),
@@ -119,8 +119,8 @@
     /// Encodes `trial`.
     pub fn new(trial: &Trial, has_ended: bool) -> Self {
         Self {
-            fingerprint: trial.mark.into(),
-            gateway: trial.by,
+            fingerprint: trial.fingerprint.into(),
+            gateway: trial.gateway,
             engine: trial.engine.map(|engine| engine.0),
             has_ended,
         }
@@ -129,8 +129,8 @@
     /// Decodes the trial.
     pub fn trial(&self) -> Trial {
         Trial {
-            by: self.gateway,
-            mark: self.fingerprint.into(),
+            gateway: self.gateway,
+            fingerprint: self.fingerprint.into(),
             engine: self.engine.map(Incarnation),
         }
     }
--- a/crates/gingerpier_gateway/src/proxy/error_response.rs
+++ b/crates/gingerpier_gateway/src/proxy/error_response.rs
@@ -2,7 +2,7 @@
 
 use {
     gingerpier_http1::{head::Request, writer::Message},
-    gingerpier_serving::dialect::Names,
+    gingerpier_serving::platform_api::HeaderNames,
 };
 
 /// Why a request gets an error response from the gateway instead of an engine's response.
@@ -75,7 +75,7 @@
 pub fn encode(
     error: ErrorResponse,
     request: &Request,
-    header_names: &Names,
+    header_names: &HeaderNames,
     closes: bool,
 ) -> Vec<u8> {
     let mut message = Message::response(error.status());
