--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -209,8 +209,8 @@
         for chunk in origin_chunks {
             fetch.request_ahead(chunk);
         }
-        if let Some(width) = distributor.sustained_peer_requests.get() {
-            fetch.set_max_peer_requests(width);
+        if let Some(max_peer_requests) = distributor.sustained_peer_requests.get() {
+            fetch.set_max_peer_requests(max_peer_requests);
         }
         let (sender, events) = unbounded_channel();
         Self {
