--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -11,7 +11,7 @@
     gingerpier_serving::{
         engine::Engine,
         report::{Born, Report},
-        zones::{Heading, Reception},
+        zones::{Acceptance, Header},
     },
     std::{net::SocketAddr, rc::Rc},
     tokio::net::UdpSocket,
@@ -59,15 +59,15 @@
 /// Applies a digest of another zone and forwards it to the gateways of this zone.
 pub fn receive_digest(state: &State, socket: &UdpSocket, digest: Digest) {
     let now = clock::now();
-    let header = Heading {
+    let header = Header {
         zone: &digest.zone,
         sender: digest.sender,
         stamp: digest.timestamp_millis,
         part: digest.part,
         gateway_count: digest.gateway_count,
     };
-    let was_reachable = state.zones.borrow().is_heard(&digest.zone, now);
-    if state.zones.borrow_mut().take(&header, now) == Reception::Old {
+    let was_reachable = state.zones.borrow().has_recent_digest(&digest.zone, now);
+    if state.zones.borrow_mut().accept(&header, now) == Acceptance::Old {
         return;
     }
     if !was_reachable {
@@ -93,9 +93,9 @@
 
 fn apply_digest(state: &State, digest: &Digest, now: Instant) {
     let mut zones = state.zones.borrow_mut();
-    zones.note_member(&digest.zone, digest.sender, now);
+    zones.record_member(&digest.zone, digest.sender, now);
     for gateway in &digest.gateways {
-        zones.note_member(&digest.zone, *gateway, now);
+        zones.record_member(&digest.zone, *gateway, now);
     }
     let mut fleet = state.fleet.borrow_mut();
     for entry in &digest.engines {
@@ -157,11 +157,11 @@
         let mut models = Vec::new();
         let chunk = chunk.unwrap_or_default();
         let start_times = chunk.iter().filter_map(|(engine, _)| engine.born());
-        let first_start_time = start_times.min().map_or(0, |start_time| start_time.0);
+        let first_start_millis = start_times.min().map_or(0, |start_time| start_time.0);
         let entries = chunk.iter().map(|(engine, report)| DigestEngine {
             start_offset_millis: engine
                 .born()
-                .map_or(0, |start_time| start_time.0 - first_start_time + 1),
+                .map_or(0, |start_time| start_time.0 - first_start_millis + 1),
             ..digest_engine(engine, report, &mut models, now)
         });
         let engines = entries.collect();
@@ -177,7 +177,7 @@
             engines,
             gateways: gateways.unwrap_or_default().to_vec(),
             is_forwarded: false,
-            first_start_millis: first_start_time,
+            first_start_millis,
         }
     };
     (0..part_count).map(part).collect()
