--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -144,9 +144,9 @@
     let response = loader_configuration::fetch(gateway).await?;
     loader.update_services(response.services);
     // Kept apart from the gateway's subscriptions, which report more precise ages.
-    let source = Reporter(!order::hash(&gateway));
+    let reporter = Reporter(!order::hash(&gateway));
     for release in response.releases {
-        loader.record_peer_release(release, source);
+        loader.record_peer_release(release, reporter);
     }
     *loader.fleet.borrow_mut() = response.fleet;
     Ok(())
--- a/crates/gingerpier_gateway/src/loader/update.rs
+++ b/crates/gingerpier_gateway/src/loader/update.rs
@@ -183,8 +183,8 @@
     }
 }
 
-fn terms(loader: &Loader) -> Bound {
-    weights::terms(loader.settings.version_within.0)
+fn update_bound(loader: &Loader) -> Bound {
+    weights::update_bound(loader.settings.version_within.0)
 }
 
 async fn fetch_and_activate(loader: Rc<Loader>, target: ModelVersion) {
@@ -326,7 +326,7 @@
         &releases,
         complete_at,
         own_position(loader),
-        &terms(loader),
+        &update_bound(loader),
     );
     loader.is_engine_idle() && order_at.has_passed(clock::now())
 }
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -16,14 +16,13 @@
 };
 
 impl Loader {
-    /// Records a release made at most `age` milliseconds ago, as reported by
-    /// `source`.
-    pub fn record_release(&self, model_version: &ModelVersion, source: Reporter, age: u64) {
+    /// Records a release made at most `age` milliseconds ago, as reported by `reporter`.
+    pub fn record_release(&self, model_version: &ModelVersion, reporter: Reporter, age: u64) {
         let now = clock::now();
         let earliest = Instant::from_millis(now.as_millis().saturating_sub(age));
         let mut releases = self.releases.borrow_mut();
         let known = releases.entry(model_version.model.clone()).or_default();
-        if known.record(model_version.version, source, earliest, now) {
+        if known.record(model_version.version, reporter, earliest, now) {
             tracing::info!(
                 model = model_version.model,
                 version = model_version.version.0,
@@ -33,13 +32,13 @@
         }
     }
 
-    /// Records a release that the gateway `source` reported.
-    pub fn record_peer_release(&self, release: message::ReportedRelease, source: Reporter) {
+    /// Records a release that the gateway `reporter` reported.
+    pub fn record_peer_release(&self, release: message::ReportedRelease, reporter: Reporter) {
         let model_version = ModelVersion {
             model: release.model,
             version: Version(release.version),
         };
-        self.record_release(&model_version, source, release.age_millis);
+        self.record_release(&model_version, reporter, release.age_millis);
     }
 
     /// Known releases of `model`.
--- a/crates/gingerpier_gateway/src/message/suspects.rs
+++ b/crates/gingerpier_gateway/src/message/suspects.rs
@@ -18,8 +18,8 @@
 pub struct FingerprintBytes(#[cbor(n(0), with = "minicbor::bytes")] [u8; LENGTH_BYTES]);
 
 impl From<Fingerprint> for FingerprintBytes {
-    fn from(mark: Fingerprint) -> Self {
-        Self(mark.0)
+    fn from(fingerprint: Fingerprint) -> Self {
+        Self(fingerprint.0)
     }
 }
 
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -179,8 +179,8 @@
 /// Time reserved before the deadline of a weight update.
 const UPDATE_MARGIN_MILLIS: u64 = 1_400;
 
-/// Limits of a weight update that has to end `within_millis` after the release.
-pub const fn terms(within_millis: u64) -> Bound {
+/// Time bound of a weight update that has to end `within_millis` after the release.
+pub const fn update_bound(within_millis: u64) -> Bound {
     Bound {
         within_millis,
         margin_millis: UPDATE_MARGIN_MILLIS,
