--- a/crates/gingerpier_gateway/src/metrics.rs
+++ b/crates/gingerpier_gateway/src/metrics.rs
@@ -11,7 +11,7 @@
 pub enum Ending {
     /// The caller received an engine's complete response.
     Answered,
-    /// No engine ran the request, and the caller was told so.
+    /// No engine ran the request, and the response says so.
     Refused,
     /// An attempt failed after the engine may have run the request.
     Failed,
--- a/crates/gingerpier_gateway/src/proxy/attempt.rs
+++ b/crates/gingerpier_gateway/src/proxy/attempt.rs
@@ -54,7 +54,7 @@
     prompt_tokens: u64,
     awaits_first_event: bool,
     sent_at: Instant,
-    crowding: f64,
+    slowdown: f64,
 }
 
 impl InFlight {
@@ -62,7 +62,7 @@
     pub fn new(state: &Rc<State>, engine: EngineKey, prompt_tokens: u64) -> Self {
         let sent_at = clock::now();
         let mut fleet = state.fleet.borrow_mut();
-        let crowding = fleet.engine(engine).crowding();
+        let slowdown = fleet.engine(engine).crowding();
         fleet.engine_mut(engine).note_sent(prompt_tokens, sent_at);
         Self {
             state: state.clone(),
@@ -70,7 +70,7 @@
             prompt_tokens,
             awaits_first_event: true,
             sent_at,
-            crowding,
+            slowdown,
         }
     }
 
@@ -80,7 +80,7 @@
         let mut fleet = self.state.fleet.borrow_mut();
         fleet
             .engine_mut(self.engine)
-            .note_work(elapsed_millis, self.crowding);
+            .note_work(elapsed_millis, self.slowdown);
     }
 
     /// Removes the prompt from the engine's unread tokens at the first event of the stream.
--- a/crates/gingerpier_gateway/src/proxy/trial.rs
+++ b/crates/gingerpier_gateway/src/proxy/trial.rs
@@ -59,15 +59,15 @@
 impl Drop for TrialGuard {
     fn drop(&mut self) {
         let Trial {
-            fingerprint: mark,
-            gateway: by,
+            fingerprint,
+            gateway,
             ..
         } = self.trial;
         self.state
             .suspect_state
             .trials
             .borrow_mut()
-            .record_end(mark, by);
+            .record_end(fingerprint, gateway);
         self.state.announce_trial(&self.trial, true);
     }
 }
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -279,8 +279,8 @@
         sizes.note(route, prompt_tokens)
     }
 
-    /// Shortest retry delay after which returning callers of `route` can be told from new ones;
-    /// `None` while that is unknown.
+    /// Shortest retry delay after which returning callers of `route` can be distinguished from new
+    /// ones; `None` while that is unknown.
     pub fn recognizable_retry_millis(&self, route: &str) -> Option<u64> {
         self.return_detector.borrow().told_apart_millis(route)
     }
--- a/crates/gingerpier_gateway/src/state/store_contact.rs
+++ b/crates/gingerpier_gateway/src/state/store_contact.rs
@@ -64,15 +64,19 @@
     }
 
     /// Records when the store last responded to another gateway, and the last recovery that it saw.
-    pub fn record_peer_outage(&self, answered: Option<Instant>, last_return: Option<Recovery>) {
+    pub fn record_peer_outage(
+        &self,
+        responded_at: Option<Instant>,
+        last_recovery: Option<Recovery>,
+    ) {
         let now = clock::now();
         self.with_outage(|outage| {
             // The recovery is judged by the state before this response.
-            if let Some(last_return) = last_return {
-                outage.record_peer_recovery(last_return, now);
+            if let Some(last_recovery) = last_recovery {
+                outage.record_peer_recovery(last_recovery, now);
             }
-            if let Some(answered) = answered {
-                outage.record_peer_response(answered);
+            if let Some(responded_at) = responded_at {
+                outage.record_peer_response(responded_at);
             }
         });
     }
