--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -131,7 +131,7 @@
             .set(state.item_parser.invalid_count() as i64);
         state.update_suspect_metrics();
         let fleet = state.fleet.borrow();
-        let is_present = |key: &_| !fleet.engine(*key).is_gone;
+        let is_present = |key: &_| !fleet.engine(*key).is_removed;
         state.pool.borrow_mut().sweep(is_present);
     }
 }
--- a/crates/gingerpier_gateway/src/loader/report.rs
+++ b/crates/gingerpier_gateway/src/loader/report.rs
@@ -121,7 +121,7 @@
     {
         Ok(mut report) => {
             reset_after_restart(loader, &report);
-            report.unread_tokens = loader.unread_tokens(&report);
+            report.pending_prompt_tokens = loader.unread_tokens(&report);
             Some(report)
         }
         Err(error) => {
@@ -133,9 +133,13 @@
 
 /// Resets the backlog estimate if the engine restarted since its last report.
 fn reset_after_restart(loader: &Loader, report: &Report) {
-    let last = loader.report.borrow().as_ref().and_then(|last| last.born);
-    if last.is_some() && report.born.is_some() && last != report.born {
-        tracing::info!(born = ?report.born, ?last, "engine restarted");
+    let last = loader
+        .report
+        .borrow()
+        .as_ref()
+        .and_then(|last| last.start_time);
+    if last.is_some() && report.start_time.is_some() && last != report.start_time {
+        tracing::info!(born = ?report.start_time, ?last, "engine restarted");
         loader.reset_backlog();
     }
 }
@@ -144,14 +148,16 @@
 fn store_report(loader: &Loader, report: Option<Report>) -> bool {
     let mut last = loader.report.borrow_mut();
     let is_new = match (&*last, &report) {
-        (Some(last), Some(report)) => last.held != report.held || last.is_busy != report.is_busy,
+        (Some(last), Some(report)) => {
+            last.loaded != report.loaded || last.is_busy != report.is_busy
+        }
         (None, None) => false,
         _ => true,
     };
     if is_new {
         match &report {
             Some(report) => {
-                tracing::info!(held = ?report.held, busy = report.is_busy, sequence = report.sequence, "engine reports");
+                tracing::info!(held = ?report.loaded, busy = report.is_busy, sequence = report.sequence, "engine reports");
             }
             None => tracing::warn!("engine does not answer"),
         }
--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -122,7 +122,7 @@
         let fleet = self.fleet.borrow();
         let now = clock::now();
         let serves = |engine: &Engine| {
-            engine.version_of(&model_version.model, now) == Some(model_version.version)
+            engine.loaded_version(&model_version.model, now) == Some(model_version.version)
         };
         let engines = fleet.listed().filter(|(_, engine)| serves(engine));
         engines
@@ -135,7 +135,7 @@
         let now = clock::now();
         let versions = fleet
             .listed()
-            .filter_map(|(_, engine)| engine.version_of(model, now));
+            .filter_map(|(_, engine)| engine.loaded_version(model, now));
         versions.max()
     }
 
@@ -174,7 +174,7 @@
     /// Version of `model` that the engine has loaded.
     pub fn loaded_version(&self, model: &str) -> Option<Version> {
         let report = self.report.borrow();
-        let loaded = report.as_ref()?.held.iter();
+        let loaded = report.as_ref()?.loaded.iter();
         loaded
             .filter(|held| held.model == model)
             .map(|held| held.version)
--- a/crates/gingerpier_gateway/src/loader_configuration.rs
+++ b/crates/gingerpier_gateway/src/loader_configuration.rs
@@ -119,7 +119,7 @@
         releases: Vec::new(),
     };
     for index in 0..message.services.len() {
-        for (_, engine) in fleet.present(&message.services[index].name) {
+        for (_, engine) in fleet.current_of_service(&message.services[index].name) {
             let engine = encode_engine(engine, index as u32, &mut message, now);
             message.engines.push(engine);
         }
@@ -137,7 +137,7 @@
     }
     let services = message.services.into_iter().map(decode_service).collect();
     LoaderConfiguration {
-        services: Services::told(message.version, services, message.weights_digest),
+        services: Services::received(message.version, services, message.weights_digest),
         fleet,
         releases: message.releases,
     }
@@ -152,10 +152,10 @@
             step_millis: engines.step_millis,
             per_request_millis: engines.per_request_millis,
             per_thousand_tokens_millis: engines.per_thousand_tokens_millis,
-            read_per_milli: engines.read_per_milli,
-            read_at_once: engines.read_at_once,
-            usual_prompt: engines.usual_prompt,
-            usual_answer: engines.usual_answer,
+            read_per_milli: engines.prompt_tokens_per_milli,
+            read_at_once: engines.max_prompt_tokens_per_pass,
+            usual_prompt: engines.mean_prompt_tokens,
+            usual_answer: engines.mean_answer_tokens,
             memory_tokens: engines.memory_tokens,
             models: engines.models.clone(),
         }),
@@ -180,10 +180,10 @@
             step_millis: engines.step_millis,
             per_request_millis: engines.per_request_millis,
             per_thousand_tokens_millis: engines.per_thousand_tokens_millis,
-            read_per_milli: engines.read_per_milli,
-            read_at_once: engines.read_at_once,
-            usual_prompt: engines.usual_prompt,
-            usual_answer: engines.usual_answer,
+            prompt_tokens_per_milli: engines.read_per_milli,
+            max_prompt_tokens_per_pass: engines.read_at_once,
+            mean_prompt_tokens: engines.usual_prompt,
+            mean_answer_tokens: engines.usual_answer,
             memory_tokens: engines.memory_tokens,
             models: engines.models,
         })),
@@ -208,7 +208,7 @@
     message: &mut ConfigurationPart,
     now: Instant,
 ) -> EngineEntry {
-    let loaded = engine.latest(now).held.iter();
+    let loaded = engine.latest_report(now).loaded.iter();
     let loaded =
         loaded.filter_map(|weights| IndexedVersion::new(weights, &mut message.models, usize::MAX));
     EngineEntry {
@@ -243,7 +243,7 @@
         slots: 0,
         cold_millis: 0,
         report: Report {
-            held: loaded.collect(),
+            loaded: loaded.collect(),
             ..Report::default()
         },
     })
--- a/crates/gingerpier_gateway/src/message/mod.rs
+++ b/crates/gingerpier_gateway/src/message/mod.rs
@@ -311,7 +311,7 @@
 impl Load {
     /// Load message for the `report` of the engine at `engine`.
     pub fn new(engine: String, report: &Report) -> Self {
-        let loaded = report.held.iter().map(|loaded| LoadedVersion {
+        let loaded = report.loaded.iter().map(|loaded| LoadedVersion {
             model: loaded.model.clone(),
             version: loaded.version.0,
         });
@@ -321,13 +321,13 @@
             is_busy: report.is_busy,
             queued: report.queued,
             active: report.active,
-            memory_used: report.memory_used,
-            memory_total: report.memory_total,
-            slowdown_permille: (report.pace * 1_000.0) as u32,
+            memory_used: report.memory_used_tokens,
+            memory_total: report.memory_total_tokens,
+            slowdown_permille: (report.slowdown * 1_000.0) as u32,
             gateways: Vec::new(),
             echoed_timestamp_millis: 0,
-            unread_tokens: report.unread_tokens,
-            start_time_millis: report.born.map_or(0, |born| born.0),
+            unread_tokens: report.pending_prompt_tokens,
+            start_time_millis: report.start_time.map_or(0, |born| born.0),
         }
     }
 
@@ -338,16 +338,16 @@
             version: Version(weights.version),
         });
         Report {
-            born: (self.start_time_millis > 0).then_some(Born(self.start_time_millis)),
-            held: loaded.collect(),
+            start_time: (self.start_time_millis > 0).then_some(Born(self.start_time_millis)),
+            loaded: loaded.collect(),
             is_busy: self.is_busy,
             sequence: 0,
             queued: self.queued,
             active: self.active,
-            memory_used: self.memory_used,
-            memory_total: self.memory_total,
-            pace: f64::from(self.slowdown_permille) / 1_000.0,
-            unread_tokens: self.unread_tokens,
+            memory_used_tokens: self.memory_used,
+            memory_total_tokens: self.memory_total,
+            slowdown: f64::from(self.slowdown_permille) / 1_000.0,
+            pending_prompt_tokens: self.unread_tokens,
         }
     }
 }
--- a/crates/gingerpier_gateway/src/proxy/attempt.rs
+++ b/crates/gingerpier_gateway/src/proxy/attempt.rs
@@ -62,8 +62,8 @@
     pub fn new(state: &Rc<State>, engine: EngineKey, prompt_tokens: u64) -> Self {
         let sent_at = clock::now();
         let mut fleet = state.fleet.borrow_mut();
-        let slowdown = fleet.engine(engine).crowding();
-        fleet.engine_mut(engine).note_sent(prompt_tokens, sent_at);
+        let slowdown = fleet.engine(engine).sharing_slowdown();
+        fleet.engine_mut(engine).record_sent(prompt_tokens, sent_at);
         Self {
             state: state.clone(),
             engine,
@@ -80,14 +80,16 @@
         let mut fleet = self.state.fleet.borrow_mut();
         fleet
             .engine_mut(self.engine)
-            .note_work(elapsed_millis, self.slowdown);
+            .record_work(elapsed_millis, self.slowdown);
     }
 
     /// Removes the prompt from the engine's unread tokens at the first event of the stream.
     pub fn record_first_event(&mut self) {
         if std::mem::replace(&mut self.awaits_first_event, false) {
             let mut fleet = self.state.fleet.borrow_mut();
-            fleet.engine_mut(self.engine).note_first(self.prompt_tokens);
+            fleet
+                .engine_mut(self.engine)
+                .record_first_event(self.prompt_tokens);
         }
     }
 }
@@ -97,7 +99,7 @@
         let mut fleet = self.state.fleet.borrow_mut();
         fleet
             .engine_mut(self.engine)
-            .note_end(self.prompt_tokens, self.awaits_first_event);
+            .record_end(self.prompt_tokens, self.awaits_first_event);
     }
 }
 
--- a/crates/gingerpier_gateway/src/proxy/completion.rs
+++ b/crates/gingerpier_gateway/src/proxy/completion.rs
@@ -40,14 +40,16 @@
         let engine = fleet.engine_mut(engine);
         match error.cause {
             Cause::Unreachable => {
-                engine.note_failure(now);
+                engine.record_failure(now);
                 // The engine may restart cold before its store entry says so.
                 engine.warmup.record_possible_cooling(now);
             }
-            Cause::Broken => engine.note_failure(now),
-            Cause::Silent => engine.note_silence(now),
-            Cause::Garbled | Cause::EngineFailed => engine.note_trouble(),
-            Cause::Full | Cause::Elsewhere => engine.rest(now.after_millis(FULL_BACKOFF_MILLIS)),
+            Cause::Broken => engine.record_failure(now),
+            Cause::Silent => engine.record_timeout(now),
+            Cause::Garbled | Cause::EngineFailed => engine.record_error_response(),
+            Cause::Full | Cause::Elsewhere => {
+                engine.back_off_until(now.after_millis(FULL_BACKOFF_MILLIS))
+            }
         }
     }
 
@@ -217,7 +219,7 @@
             events = progress.event_count(),
             pause = progress.longest_gap_millis(),
             beside = self.engine_load.map(|load| load.requests as u64),
-            unread = self.engine_load.map(|load| load.unread_tokens),
+            unread = self.engine_load.map(|load| load.pending_prompt_tokens),
             prompt = self.request.prompt_tokens,
             size = self.request.band.map(tracing::field::display),
             bound = self.refusal.map(|refusal| refusal.bound_millis as u64),
--- a/crates/gingerpier_gateway/src/proxy/engine_choice.rs
+++ b/crates/gingerpier_gateway/src/proxy/engine_choice.rs
@@ -36,7 +36,7 @@
     /// than processing one prompt again on another engine.
     pub fn should_migrate(&mut self, engine: EngineKey, progress: &Progress) -> bool {
         let now = clock::now();
-        let closed_millis = self.state.fleet.borrow().engine(engine).closed_millis(now);
+        let closed_millis = self.state.fleet.borrow().engine(engine).blocked_millis(now);
         // Keeps the check cheap, as it runs for each event of each stream.
         if closed_millis.is_none_or(|closed_millis| closed_millis < MIGRATE_AFTER_MILLIS) {
             return false;
@@ -59,7 +59,7 @@
     /// Latency target for the next event.
     fn target_millis(&self, progress: &Progress) -> u64 {
         match progress.has_begun() {
-            true => self.request.route_settings().pause_millis,
+            true => self.request.route_settings().max_pause_millis,
             false => self.request.route_settings().target_millis,
         }
     }
@@ -143,7 +143,7 @@
             } => {
                 self.predicted_millis = predicted_millis;
                 self.own_millis = Some(own_millis);
-                self.engine_load = Some(fleet.engine(engine).seen(now));
+                self.engine_load = Some(fleet.engine(engine).estimated_load(now));
                 Some(engine)
             }
             Choice::Full(refusal) => {
@@ -166,7 +166,7 @@
         let min_version = admission::min_version(&self.cutovers(), now);
         let fleet = self.state.fleet.borrow();
         let model = self.request.model.as_deref();
-        let loaded = model.and_then(|model| fleet.engine(engine).version_of(model, now));
+        let loaded = model.and_then(|model| fleet.engine(engine).loaded_version(model, now));
         loaded
             .filter(|loaded| min_version > Version::default() && *loaded >= min_version)
             .unwrap_or_default()
@@ -176,7 +176,8 @@
     pub(super) fn is_outdated(&self, engine: EngineKey) -> bool {
         let fleet = self.state.fleet.borrow();
         let model = self.request.model.as_deref();
-        let loaded = model.and_then(|model| fleet.engine(engine).version_of(model, clock::now()));
+        let loaded =
+            model.and_then(|model| fleet.engine(engine).loaded_version(model, clock::now()));
         loaded.is_some_and(|loaded| {
             self.cutovers()
                 .iter()
--- a/crates/gingerpier_gateway/src/proxy/forward.rs
+++ b/crates/gingerpier_gateway/src/proxy/forward.rs
@@ -19,7 +19,7 @@
     },
     gingerpier_serving::{
         admission::Refusal,
-        engine::Seen,
+        engine::EstimatedLoad,
         fleet::EngineKey,
         report::Version,
         retry::{Action, Failure, RetryState},
@@ -96,7 +96,7 @@
     /// Random number that spreads choices among engines that are equally good.
     pub(super) random: u64,
     /// Known load of the engine chosen last.
-    pub(super) engine_load: Option<Seen>,
+    pub(super) engine_load: Option<EstimatedLoad>,
     /// Why the last choice found all engines full.
     pub(super) refusal: Option<Refusal>,
 }
@@ -383,7 +383,7 @@
 
     fn record_success(&self, engine: EngineKey) {
         let mut fleet = self.state.fleet.borrow_mut();
-        fleet.engine_mut(engine).note_success();
+        fleet.engine_mut(engine).record_success();
     }
 
     pub(super) async fn write_buffered(
@@ -425,7 +425,7 @@
         if let (Some(engine), Some(sent_at)) = (self.tried.last(), self.sent_at) {
             let lateness_millis = now.millis_since(sent_at) as f64 - self.predicted_millis;
             let mut fleet = self.state.fleet.borrow_mut();
-            fleet.engine_mut(*engine).note_lateness(lateness_millis);
+            fleet.engine_mut(*engine).record_lateness(lateness_millis);
         }
     }
 }
--- a/crates/gingerpier_gateway/src/proxy/request.rs
+++ b/crates/gingerpier_gateway/src/proxy/request.rs
@@ -11,12 +11,12 @@
     },
     gingerpier_serving::{
         configuration::{
-            Configuration, Route, RouteKey, Service, ServiceKey, ServiceKind, TenantKey,
+            AccountKey, Configuration, Route, RouteKey, Service, ServiceKey, ServiceKind,
         },
         engine::Engine,
         fingerprint::{Fingerprint, Input},
         platform_api::HeaderNames,
-        region::Homes,
+        region::RegionSet,
         report::Version,
         return_detection::Visit,
         sizes::Band,
@@ -42,7 +42,7 @@
     /// Name of the client account; `None` for a request without a known key.
     pub account: Option<String>,
     /// Regions in which the request may be served.
-    pub regions: Homes,
+    pub regions: RegionSet,
     /// Model that the request names.
     pub model: Option<String>,
     /// Prompt length that the caller declares; 0 if it declares none.
@@ -97,7 +97,7 @@
             return Err(ErrorResponse::MissingAttemptId);
         }
         let service = configuration
-            .draw(route, fastrand::u64(..))
+            .pick_service(route, fastrand::u64(..))
             .ok_or(ErrorResponse::NoRoute)?;
         let caller_timeout_millis = fields.number(header_names.deadline);
         let visit = state.record_visit(&route_settings.name, caller_timeout_millis, received);
@@ -109,7 +109,7 @@
             .and_then(|text| text.split(',').next()?.trim().parse().ok())
             .unwrap_or_default();
         let band = state.record_prompt_size(&route_settings.name, prompt_tokens);
-        let account = account_key.map(|key| configuration.tenant(key).name.clone());
+        let account = account_key.map(|key| configuration.account(key).name.clone());
         let fingerprint = Fingerprint::of(&Input {
             host,
             target: head.target(),
@@ -121,7 +121,7 @@
             body,
             route,
             service,
-            regions: configuration.homes(route, account_key),
+            regions: configuration.allowed_regions(route, account_key),
             account,
             model: fields.text(header_names.model).map(str::to_owned),
             prompt_tokens,
@@ -228,11 +228,11 @@
     configuration: &Configuration,
     route_settings: &Route,
     key: Option<&str>,
-) -> Result<Option<TenantKey>, ErrorResponse> {
-    if !configuration.needs_keys() {
+) -> Result<Option<AccountKey>, ErrorResponse> {
+    if !configuration.requires_keys() {
         return Ok(None);
     }
-    let account = key.and_then(|key| configuration.tenant_of(key));
+    let account = key.and_then(|key| configuration.account_of(key));
     if account.is_none() && !route_settings.is_public {
         return Err(ErrorResponse::InvalidKey);
     }
--- a/crates/gingerpier_gateway/src/proxy/stream.rs
+++ b/crates/gingerpier_gateway/src/proxy/stream.rs
@@ -224,7 +224,7 @@
             Batch::End => {
                 forwarder.record_completion(&head);
                 let mut fleet = forwarder.state.fleet.borrow_mut();
-                fleet.engine_mut(in_flight.engine).note_success();
+                fleet.engine_mut(in_flight.engine).record_success();
                 if is_request_sent {
                     let mut pool = forwarder.state.pool.borrow_mut();
                     pool.put(in_flight.engine, connection, &head);
--- a/crates/gingerpier_gateway/src/proxy/trial.rs
+++ b/crates/gingerpier_gateway/src/proxy/trial.rs
@@ -149,7 +149,7 @@
         Trial {
             gateway: self.state.settings.peers,
             fingerprint: self.request.fingerprint,
-            engine: is_exclusive.then(|| Incarnation::of(&engine.record, engine.born())),
+            engine: is_exclusive.then(|| Incarnation::of(&engine.record, engine.start_time())),
         }
     }
 
@@ -163,9 +163,9 @@
         let mut excluded = self.tried.clone();
         {
             let fleet = self.state.fleet.borrow();
-            let engines = fleet.present(&self.request.service_settings().name);
+            let engines = fleet.current_of_service(&self.request.service_settings().name);
             let occupied = engines.filter(|(_, engine)| {
-                with_trial.contains(&Incarnation::of(&engine.record, engine.born()))
+                with_trial.contains(&Incarnation::of(&engine.record, engine.start_time()))
             });
             excluded.extend(occupied.map(|(key, _)| key));
         }
@@ -190,16 +190,16 @@
             let fleet = self.state.fleet.borrow();
             let engine = fleet.engine(key);
             // A draining engine exits on its own.
-            if engine.is_gone || engine.record.state == fleet::State::Draining {
+            if engine.is_removed || engine.record.state == fleet::State::Draining {
                 return None;
             }
             let now = clock::now();
             let model = self.request.model.as_deref();
-            let loaded = model.and_then(|model| engine.version_of(model, now));
+            let loaded = model.and_then(|model| engine.loaded_version(model, now));
             let crash = Crash {
                 fingerprint: self.request.fingerprint,
                 account: suspects::account_hash(self.request.account.as_deref()),
-                engine: Incarnation::of(&engine.record, engine.born()),
+                engine: Incarnation::of(&engine.record, engine.start_time()),
                 version: loaded.unwrap_or_default().max(progress.version()),
                 at: now,
             };
--- a/crates/gingerpier_gateway/src/reports.rs
+++ b/crates/gingerpier_gateway/src/reports.rs
@@ -162,7 +162,7 @@
     let mut fleet = state.fleet.borrow_mut();
     let report = load.report();
     let previous = fleet.at_address(address);
-    if let Some(key) = fleet.incarnation(address, report.born) {
+    if let Some(key) = fleet.resolve_incarnation(address, report.start_time) {
         let engine = fleet.engine_mut(key);
         if previous != Some(key) {
             engine.warmup.record_possible_cooling(clock::now());
@@ -175,9 +175,9 @@
         if is_significant(engine, &report, &state.settings.zone) {
             state.zones.borrow_mut().request_early_digest();
         }
-        engine.note_report(report, clock::now());
+        engine.record_report(report, clock::now());
         if load.echoed_timestamp_millis > 0 {
-            engine.note_echo(Instant::from_millis(load.echoed_timestamp_millis));
+            engine.record_ack(Instant::from_millis(load.echoed_timestamp_millis));
         }
     }
 }
@@ -185,8 +185,8 @@
 /// True if other zones should learn of `report` early: its weights or its order to load some
 /// changed.
 fn is_significant(engine: &Engine, report: &Report, own_zone: &str) -> bool {
-    let previous = engine.latest(clock::now());
-    let has_changed = previous.is_busy != report.is_busy || previous.held != report.held;
+    let previous = engine.latest_report(clock::now());
+    let has_changed = previous.is_busy != report.is_busy || previous.loaded != report.loaded;
     has_changed && engine.record.zone == own_zone
 }
 
--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -10,7 +10,7 @@
         mirror::{Item, Revision},
         outage::Absence,
         platform_api::ItemKind,
-        region::Homes,
+        region::RegionSet,
     },
 };
 
@@ -29,7 +29,7 @@
         let mut fleet = self.fleet.borrow_mut();
         match self.outage.get().excused_until(deletion, clock::now()) {
             Some(until) => {
-                fleet.lapse(&id, until);
+                fleet.mark_missing(&id, until);
                 tracing::info!(
                     engine = id,
                     revision,
@@ -46,7 +46,7 @@
     /// Unlists engines whose missing entries did not return in time.
     pub fn expire_engines(&self) {
         let mut fleet = self.fleet.borrow_mut();
-        for key in fleet.expire(clock::now()) {
+        for key in fleet.remove_expired(clock::now()) {
             let id = &fleet.engine(key).record.id;
             tracing::info!(engine = id, "engine unlisted, as it did not come back");
         }
@@ -55,7 +55,7 @@
     pub(super) fn list_engine(&self, record: Record, revision: Revision) {
         let mut fleet = self.fleet.borrow_mut();
         let id = record.id.clone();
-        let (state, born) = (record.state, record.report.born);
+        let (state, born) = (record.state, record.report.start_time);
         let known = fleet.find(&id);
         let last_state = known.map(|key| fleet.engine(key).record.state);
         let address = record.address;
@@ -84,7 +84,7 @@
         };
         let mut fleet = self.fleet.borrow_mut();
         let known = fleet.find(&id);
-        if known.is_some_and(|known| !fleet.engine(known).is_gone) {
+        if known.is_some_and(|known| !fleet.engine(known).is_removed) {
             fleet.unlist(&id);
             let revision = item.revision.0;
             tracing::warn!(
@@ -98,7 +98,7 @@
     /// Accepts entries with an earlier start time whose newer rival is silent, as after a clock was
     /// set back.
     pub fn settle_contested_entries(&self) {
-        for id in self.fleet.borrow_mut().settle_doubts(clock::now()) {
+        for id in self.fleet.borrow_mut().accept_contested(clock::now()) {
             tracing::warn!(
                 engine = id,
                 "engine has started again with an earlier start time, as its clock was set back"
@@ -128,11 +128,11 @@
                 model,
                 cutovers: &cutovers,
                 resume_version: None,
-                prompt_tokens: engines.usual_prompt.into(),
+                prompt_tokens: engines.mean_prompt_tokens.into(),
                 target_millis: USUAL_REQUEST_TARGET_MILLIS,
                 target_share: 1.0,
                 fairness: Adjustment::default(),
-                allowed_regions: Homes::ANYWHERE,
+                allowed_regions: RegionSet::ALL,
                 cold_limits: self.cold_limits(service),
                 zone: &self.settings.zone,
                 gateway_count: self.zones.borrow().gateway_count(),
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -121,7 +121,7 @@
             protocol,
             item_parser: Parser::new(protocol),
             mirror: RefCell::default(),
-            fleet: RefCell::new(Fleet::of(regions.clone())),
+            fleet: RefCell::new(Fleet::with_regions(regions.clone())),
             retry_budgets: RefCell::default(),
             pool: RefCell::default(),
             metrics: Metrics::default(),
@@ -230,7 +230,7 @@
             return;
         }
         tracing::info!(version = configuration.version, ?old, "configuration taken");
-        configuration.locate(&self.regions);
+        configuration.resolve_regions(&self.regions);
         self.log_unknown_regions(&configuration);
         self.metrics.configuration.set(configuration.version as i64);
         let services = configuration.services().iter();
--- a/crates/gingerpier_gateway/src/state/placement.rs
+++ b/crates/gingerpier_gateway/src/state/placement.rs
@@ -34,7 +34,7 @@
 
     /// Logs regions that a configuration names and this deployment does not have.
     pub(super) fn log_unknown_regions(&self, configuration: &Configuration) {
-        for (bound, regions) in configuration.bound() {
+        for (bound, regions) in configuration.restrictions() {
             let unknown = regions
                 .iter()
                 .find(|name| self.regions.find(name).is_none());
@@ -75,7 +75,7 @@
                 continue;
             }
             let is_cold = |(_, engine): &(EngineKey, &Engine)| engine.warmup.is_cold(now);
-            let cold_engines = fleet.present(&service.name).filter(is_cold);
+            let cold_engines = fleet.current_of_service(&service.name).filter(is_cold);
             let cold_engines: Vec<EngineKey> = cold_engines.map(|(key, _)| key).collect();
             for key in cold_engines {
                 let engine = fleet.engine_mut(key);
--- a/crates/gingerpier_gateway/src/state/shedding.rs
+++ b/crates/gingerpier_gateway/src/state/shedding.rs
@@ -7,7 +7,7 @@
     super::State,
     gingerpier_base::Instant,
     gingerpier_serving::{
-        fairness::Adjustment, region::Homes, return_detection::Visit, shedding::Controller,
+        fairness::Adjustment, region::RegionSet, return_detection::Visit, shedding::Controller,
     },
     std::collections::HashMap,
 };
@@ -21,12 +21,12 @@
     /// Name of the service.
     pub service: &'a str,
     /// Regions in which the requests may be served.
-    pub regions: Homes,
+    pub regions: RegionSet,
 }
 
 /// Load shedding controllers by service and set of regions.
 #[derive(Debug, Default)]
-pub(super) struct SheddingTable(HashMap<String, Vec<(Homes, Controller)>>);
+pub(super) struct SheddingTable(HashMap<String, Vec<(RegionSet, Controller)>>);
 
 impl SheddingTable {
     fn find(&self, traffic_class: TrafficClass<'_>) -> Option<&Controller> {
--- a/crates/gingerpier_gateway/src/state/unreleased.rs
+++ b/crates/gingerpier_gateway/src/state/unreleased.rs
@@ -21,8 +21,8 @@
     pub fn known_versions(&self, service: &str, model: &str) -> Known {
         let now = clock::now();
         let fleet = self.fleet.borrow();
-        let present = fleet.present(service);
-        let loaded_versions = present.filter_map(|(_, engine)| engine.version_of(model, now));
+        let present = fleet.current_of_service(service);
+        let loaded_versions = present.filter_map(|(_, engine)| engine.loaded_version(model, now));
         Known {
             held: loaded_versions.max(),
             ..self.available_versions(model)
@@ -42,8 +42,8 @@
     pub fn lacks_weights(&self, service: &str, model: &str) -> bool {
         let now = clock::now();
         let fleet = self.fleet.borrow();
-        let mut present = fleet.present(service);
-        present.any(|(_, engine)| engine.version_of(model, now).is_none())
+        let mut present = fleet.current_of_service(service);
+        present.any(|(_, engine)| engine.loaded_version(model, now).is_none())
     }
 
     /// Records the version that the origin offers and notifies loaders.
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -117,9 +117,9 @@
         let crashed: BTreeSet<Incarnation> =
             case.crashes.iter().map(|crash| crash.engine).collect();
         let has_crashed = |engine: &&gingerpier_serving::engine::Engine| {
-            crashed.contains(&Incarnation::of(&engine.record, engine.born()))
+            crashed.contains(&Incarnation::of(&engine.record, engine.start_time()))
         };
-        let engines = fleet.known().filter(has_crashed);
+        let engines = fleet.all_engines().filter(has_crashed);
         engines.map(|engine| engine.record.id.clone()).collect()
     }
 
--- a/crates/gingerpier_gateway/src/weights/relay.rs
+++ b/crates/gingerpier_gateway/src/weights/relay.rs
@@ -177,7 +177,7 @@
     let now = clock::now();
     let versions = fleet
         .listed()
-        .filter_map(|(_, engine)| engine.version_of(&model_version.model, now));
+        .filter_map(|(_, engine)| engine.loaded_version(&model_version.model, now));
     versions
         .min()
         .is_some_and(|least| least < model_version.version)
@@ -201,10 +201,10 @@
     let listed: Vec<&Engine> = fleet
         .listed()
         .map(|(_, engine)| engine)
-        .filter(|engine| engine.version_of(&model_version.model, now).is_some())
+        .filter(|engine| engine.loaded_version(&model_version.model, now).is_some())
         .collect();
     let serves = |engine: &&Engine| {
-        engine.version_of(&model_version.model, now) == Some(model_version.version)
+        engine.loaded_version(&model_version.model, now) == Some(model_version.version)
     };
     let mut chosen: Vec<&Engine> = listed.iter().copied().filter(serves).collect();
     if chosen.is_empty() {
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -101,7 +101,7 @@
     for entry in &digest.engines {
         let report = report_from(entry, digest);
         let previous = fleet.at_address(entry.address);
-        let Some(key) = fleet.incarnation(entry.address, report.born) else {
+        let Some(key) = fleet.resolve_incarnation(entry.address, report.start_time) else {
             continue;
         };
         if previous != Some(key) {
@@ -109,7 +109,7 @@
         }
         let age_millis = u64::from(entry.age_millis);
         let at = Instant::from_millis(now.as_millis().saturating_sub(age_millis));
-        fleet.engine_mut(key).note_passed_on(report, at);
+        fleet.engine_mut(key).record_forwarded_report(report, at);
     }
 }
 
@@ -120,16 +120,17 @@
         .filter_map(|weights| weights.decode(&digest.models));
     let start_offset = entry.start_offset_millis.checked_sub(1);
     Report {
-        born: start_offset.map(|offset| Born(digest.first_start_millis.saturating_add(offset))),
-        held: loaded.collect(),
+        start_time: start_offset
+            .map(|offset| Born(digest.first_start_millis.saturating_add(offset))),
+        loaded: loaded.collect(),
         is_busy: entry.is_busy,
         sequence: 0,
         queued: entry.queued,
         active: entry.active,
-        memory_used: 0,
-        memory_total: 0,
-        unread_tokens: entry.unread_tokens,
-        pace: f64::from(entry.slowdown_permille) / 1_000.0,
+        memory_used_tokens: 0,
+        memory_total_tokens: 0,
+        pending_prompt_tokens: entry.unread_tokens,
+        slowdown: f64::from(entry.slowdown_permille) / 1_000.0,
     }
 }
 
@@ -156,11 +157,11 @@
         let chunk = engines.chunks(ENGINES_PER_PART).nth(index);
         let mut models = Vec::new();
         let chunk = chunk.unwrap_or_default();
-        let start_times = chunk.iter().filter_map(|(engine, _)| engine.born());
+        let start_times = chunk.iter().filter_map(|(engine, _)| engine.start_time());
         let first_start_millis = start_times.min().map_or(0, |start_time| start_time.0);
         let entries = chunk.iter().map(|(engine, report)| DigestEngine {
             start_offset_millis: engine
-                .born()
+                .start_time()
                 .map_or(0, |start_time| start_time.0 - first_start_millis + 1),
             ..digest_engine(engine, report, &mut models, now)
         });
@@ -189,7 +190,7 @@
     models: &mut Vec<String>,
     now: Instant,
 ) -> DigestEngine {
-    let loaded = report.held.iter();
+    let loaded = report.loaded.iter();
     let loaded = loaded.filter_map(|weights| IndexedVersion::new(weights, models, MAX_MODELS));
     DigestEngine {
         address: engine.record.address,
@@ -198,8 +199,8 @@
         is_busy: report.is_busy,
         queued: report.queued,
         active: report.active,
-        unread_tokens: report.unread_tokens,
-        slowdown_permille: (report.pace * 1_000.0) as u32,
+        unread_tokens: report.pending_prompt_tokens,
+        slowdown_permille: (report.slowdown * 1_000.0) as u32,
         start_offset_millis: 0,
     }
 }
--- a/crates/gingerpier_gateway/tests/loader_configuration.rs
+++ b/crates/gingerpier_gateway/tests/loader_configuration.rs
@@ -5,8 +5,8 @@
     gingerpier_gateway::{loader_configuration, message},
     gingerpier_serving::{
         configuration::{
-            Configuration, EngineModel, Limits, Origin, Repeat, Route, Service, ServiceKey,
-            ServiceKind, Target, Tenant,
+            Account, Configuration, EngineModel, Limits, Origin, Repeat, Route, Service,
+            ServiceKey, ServiceKind, Target,
         },
         fleet::{Fleet, Record, State},
         mirror::Revision,
@@ -22,10 +22,10 @@
         step_millis: 9.27,
         per_request_millis: 0.02,
         per_thousand_tokens_millis: 0.03,
-        read_per_milli: 20.7,
-        read_at_once: Some(512),
-        usual_prompt: 900,
-        usual_answer: 90,
+        prompt_tokens_per_milli: 20.7,
+        max_prompt_tokens_per_pass: Some(512),
+        mean_prompt_tokens: 900,
+        mean_answer_tokens: 90,
         memory_tokens: 400_000,
         models: vec!["m".to_owned()],
     }
@@ -57,7 +57,7 @@
         repeat: Repeat::Safe,
         timeout_millis: 5_000,
         target_millis: 500,
-        pause_millis: 200,
+        max_pause_millis: 200,
         priority: 1,
         targets: vec![Target {
             service: ServiceKey(0),
@@ -67,7 +67,7 @@
         is_public: false,
         regions: Vec::new(),
     };
-    let account = |number: u32| Tenant {
+    let account = |number: u32| Account {
         name: format!("account-{number}"),
         priority: None,
         keys: vec![format!("secret-{number}")],
@@ -97,7 +97,7 @@
         slots: 16,
         cold_millis: 0,
         report: Report {
-            held: vec![loaded],
+            loaded: vec![loaded],
             ..Report::default()
         },
     }
@@ -135,7 +135,7 @@
             .expect("the engine is in the message");
         let decoded_engine = decoded.fleet.engine(key);
         assert_eq!(decoded_engine.record.zone, engine.record.zone);
-        assert_eq!(decoded_engine.version_of("m", now), Some(Version(3)));
+        assert_eq!(decoded_engine.loaded_version("m", now), Some(Version(3)));
     }
 }
 
@@ -151,7 +151,7 @@
     let decoded = loader_configuration::decode(message).fleet;
     let versions = decoded
         .listed()
-        .map(|(_, engine)| engine.version_of("m", now));
+        .map(|(_, engine)| engine.loaded_version("m", now));
     assert_eq!(versions.collect::<Vec<_>>(), [Some(Version(4))]);
 }
 
--- a/crates/gingerpier_gateway/tests/rolling.rs
+++ b/crates/gingerpier_gateway/tests/rolling.rs
@@ -104,12 +104,12 @@
 #[test]
 fn a_load_message_keeps_the_start_time_of_the_engine() {
     let report = Report {
-        born: Some(Born(1_780_000_000_000)),
-        held: vec![Held {
+        start_time: Some(Born(1_780_000_000_000)),
+        loaded: vec![Held {
             model: "m".to_owned(),
             version: Version(1),
         }],
-        pace: 1.0,
+        slowdown: 1.0,
         ..Report::default()
     };
     let load = Load::new(address().to_string(), &report);
@@ -118,7 +118,7 @@
         start_time_millis: 0,
         ..load
     };
-    assert_eq!(without_start_time.report().born, None);
+    assert_eq!(without_start_time.report().start_time, None);
 }
 
 /// Each start time is sent to every other zone about 4 times per second.
--- a/crates/gingerpier_overload/src/callers.rs
+++ b/crates/gingerpier_overload/src/callers.rs
@@ -81,7 +81,7 @@
     /// What it could have been worth: more where it is large.
     fn size(&self, deployment: &Deployment) -> f64 {
         let model = &deployment.model;
-        let usual = f64::from(model.usual_prompt + 10 * model.usual_answer);
+        let usual = f64::from(model.mean_prompt_tokens + 10 * model.mean_answer_tokens);
         FLAT_WORTH + (1.0 - FLAT_WORTH) * (self.prompt + 10 * self.answer) as f64 / usual
     }
 }
--- a/crates/gingerpier_overload/src/deployment.rs
+++ b/crates/gingerpier_overload/src/deployment.rs
@@ -102,10 +102,10 @@
                 step_millis: 9.27,
                 per_request_millis: 0.0232,
                 per_thousand_tokens_millis: 0.0322,
-                read_per_milli: 20.7,
-                read_at_once: Some(2_048),
-                usual_prompt: 979,
-                usual_answer: 92,
+                prompt_tokens_per_milli: 20.7,
+                max_prompt_tokens_per_pass: Some(2_048),
+                mean_prompt_tokens: 979,
+                mean_answer_tokens: 92,
                 memory_tokens: 317_000,
                 models: vec![crate::MODEL.to_owned()],
             },
@@ -158,21 +158,21 @@
         let usual = Self::usual(seed);
         let slower = draw.factor(1.0 / 3.0, 1.0 / 0.3);
         let slots = draw.whole(4, 32);
-        let usual_prompt = draw.factor(200.0, 2_000.0) as u32;
-        let usual_answer = draw.factor(30.0, 200.0) as u32;
+        let mean_prompt_tokens = draw.factor(200.0, 2_000.0) as u32;
+        let mean_answer_tokens = draw.factor(30.0, 200.0) as u32;
         let model = EngineModel {
             slots,
             stride: draw.whole(1, 8),
             step_millis: 9.27 * slower,
             per_request_millis: 0.0232 * slower,
             per_thousand_tokens_millis: 0.0322 * slower,
-            read_per_milli: 20.7 / slower,
-            usual_prompt,
-            usual_answer,
+            prompt_tokens_per_milli: 20.7 / slower,
+            mean_prompt_tokens,
+            mean_answer_tokens,
             // Room for all slots, or for three quarters of them.
-            memory_tokens: (f64::from(slots * (usual_prompt + usual_answer))
+            memory_tokens: (f64::from(slots * (mean_prompt_tokens + mean_answer_tokens))
                 * draw.between(0.75, 8.0)) as u64
-                + 3 * u64::from(LARGEST as u32 * (usual_prompt + usual_answer)),
+                + 3 * u64::from(LARGEST as u32 * (mean_prompt_tokens + mean_answer_tokens)),
             ..usual.model.clone()
         };
         let zones = draw.whole(1, 3) as usize;
--- a/crates/gingerpier_overload/src/engine.rs
+++ b/crates/gingerpier_overload/src/engine.rs
@@ -114,7 +114,7 @@
         } else {
             0.0
         };
-        Some(steps + self.to_read() / model.read_per_milli)
+        Some(steps + self.to_read() / model.prompt_tokens_per_milli)
     }
 
     /// Ends a pass; gives what it brought.
@@ -154,15 +154,15 @@
     /// What it says of itself.
     pub fn report(&self) -> Report {
         Report {
-            held: vec![Held {
+            loaded: vec![Held {
                 model: crate::MODEL.to_owned(),
                 version: Version(1),
             }],
             queued: self.queue.len() as u32,
             active: self.running.len() as u32,
-            memory_used: self.memory_used(),
-            memory_total: self.model.memory_tokens,
-            pace: 1.0,
+            memory_used_tokens: self.memory_used(),
+            memory_total_tokens: self.model.memory_tokens,
+            slowdown: 1.0,
             ..Report::default()
         }
     }
@@ -173,7 +173,11 @@
 
     fn to_read(&self) -> f64 {
         let unread: f64 = self.running.iter().map(|job| job.unread).sum();
-        unread.min(self.model.read_at_once.map_or(f64::MAX, f64::from))
+        unread.min(
+            self.model
+                .max_prompt_tokens_per_pass
+                .map_or(f64::MAX, f64::from),
+        )
     }
 
     fn memory_used(&self) -> u64 {
--- a/crates/gingerpier_overload/src/gateway.rs
+++ b/crates/gingerpier_overload/src/gateway.rs
@@ -9,7 +9,7 @@
         budget::{Budget, Limits},
         fleet::{EngineKey, Fleet, Record, State},
         mirror::Revision,
-        region::Homes,
+        region::RegionSet,
         report::{Held, Report, Version},
         return_detection::Visit,
         shedding::Controller,
@@ -79,11 +79,11 @@
             slots: deployment.model.slots,
             cold_millis: 0,
             report: Report {
-                held: vec![Held {
+                loaded: vec![Held {
                     model: crate::MODEL.to_owned(),
                     version: Version(1),
                 }],
-                pace: 1.0,
+                slowdown: 1.0,
                 ..Report::default()
             },
         };
@@ -103,8 +103,8 @@
         };
         let engine = self.fleet.engine_mut(key);
         match at.is_direct {
-            true => engine.note_report(report, now),
-            false => engine.note_passed_on(report, now),
+            true => engine.record_report(report, now),
+            false => engine.record_forwarded_report(report, now),
         }
     }
 
@@ -127,7 +127,7 @@
             other_arrivals_per_milli: self.arrivals.per_milli(now) * others,
             tried_engines: ask.tried,
             may_crash_engine: false,
-            allowed_regions: Homes::ANYWHERE,
+            allowed_regions: RegionSet::ALL,
             cold_limits: warmup::ColdLimits::NEVER_COLD,
         };
         admission::choose(&self.fleet, &criteria, now, ask.draw)
@@ -139,7 +139,7 @@
             self.arrivals.record(now);
             self.budget.record_first_attempt(now);
         }
-        self.fleet.engine_mut(key).note_sent(prompt, now);
+        self.fleet.engine_mut(key).record_sent(prompt, now);
     }
 
     /// Notes whether a caller was refused, and how many milliseconds it could wait behind others.
--- a/crates/gingerpier_overload/src/world.rs
+++ b/crates/gingerpier_overload/src/world.rs
@@ -313,7 +313,8 @@
         };
         let now = self.instant();
         // Its machine asks it as often as the nearest gateway is told.
-        report.unread_tokens = self.backlogs[engine].update(&report, &self.deployment.model, now);
+        report.pending_prompt_tokens =
+            self.backlogs[engine].update(&report, &self.deployment.model, now);
         let report = Box::new(report);
         let at = self.now;
         self.after(
--- a/crates/gingerpier_overload/src/world/attempts.rs
+++ b/crates/gingerpier_overload/src/world/attempts.rs
@@ -48,7 +48,7 @@
         self.after(pause, Event::Arrival(gateway));
         let kind = self.deployment.kind(&mut self.draw);
         let model = &self.deployment.model;
-        let usual_prompt = f64::from(model.usual_prompt) * self.deployment.kinds[kind].prompt;
+        let usual_prompt = f64::from(model.mean_prompt_tokens) * self.deployment.kinds[kind].prompt;
         let caller = Caller {
             came_at: self.now,
             tried_at: self.now,
@@ -56,7 +56,7 @@
             kind,
             zone: gateway % self.deployment.zones,
             prompt: deployment::tokens(&mut self.draw, usual_prompt as u32),
-            answer: deployment::tokens(&mut self.draw, model.usual_answer),
+            answer: deployment::tokens(&mut self.draw, model.mean_answer_tokens),
             is_impatient: self.draw.share() < self.deployment.impatient_share,
             tries: 0,
             first_at: None,
@@ -245,7 +245,7 @@
         known.is_over = true;
         let prompt = self.callers[known.caller].prompt;
         let engine = self.gateways[known.gateway].engine_mut(known.key);
-        engine.note_end(prompt, known.is_waiting);
+        engine.record_end(prompt, known.is_waiting);
     }
 
     pub(super) fn hear_word(&mut self, attempt: usize, word: Word) {
@@ -257,22 +257,22 @@
         let engine = self.gateways[known.gateway].engine_mut(known.key);
         match word {
             Word::First => {
-                engine.note_first(caller.prompt);
-                engine.note_lateness(self.now - known.sent_at - known.predicted);
+                engine.record_first_event(caller.prompt);
+                engine.record_lateness(self.now - known.sent_at - known.predicted);
                 self.attempts[attempt].is_waiting = false;
                 caller.first_at = caller.first_at.or(Some(self.now));
             }
             Word::Last => {
-                engine.note_success();
+                engine.record_success();
                 caller.outcome = Outcome::Served;
                 self.end(attempt);
             }
             Word::Full => {
-                engine.rest(now.after_millis(FULL_REST_MILLIS));
+                engine.back_off_until(now.after_millis(FULL_REST_MILLIS));
                 self.fail(attempt);
             }
             Word::Broken => {
-                engine.note_failure(now);
+                engine.record_failure(now);
                 self.fail(attempt);
             }
             Word::TimedOut => {
@@ -309,7 +309,7 @@
         let now = self.instant();
         self.gateways[known.gateway]
             .engine_mut(known.key)
-            .note_silence(now);
+            .record_timeout(now);
         let way = self.way(attempt);
         self.after(way, Event::Cancel(attempt));
         self.end(attempt);
--- a/crates/gingerpier_serving/src/admission.rs
+++ b/crates/gingerpier_serving/src/admission.rs
@@ -14,7 +14,7 @@
         fairness::Adjustment,
         fleet::{EngineKey, Fleet},
         prediction::{self, Components},
-        region::Homes,
+        region::RegionSet,
         report::Version,
         shedding,
         warmup::ColdLimits,
@@ -88,7 +88,7 @@
     /// Adjustment of the bound for requests with little or much slack.
     pub fairness: Adjustment,
     /// Regions in which the request may run.
-    pub allowed_regions: Homes,
+    pub allowed_regions: RegionSet,
     /// Request limits of cold engines of the service.
     pub cold_limits: ColdLimits,
     /// Zone of this gateway.
@@ -205,7 +205,7 @@
         if !is_included(key) || criteria.tried_engines.contains(&key) {
             continue;
         }
-        if !criteria.allowed_regions.admit(engine.region) {
+        if !criteria.allowed_regions.contains(engine.region) {
             continue;
         }
         if !engine.is_open(now) || engine.is_on_trial(now) {
@@ -215,15 +215,16 @@
             continue;
         }
         let components = predict(engine, criteria, unreported_per_milli, now);
-        let overdue_millis = engine.silence(now) as f64;
+        let overdue_millis = engine.overdue_millis(now) as f64;
         let predicted = components.total_millis() + overdue_millis;
-        let lateness = engine.lateness();
-        let starts_at = now.after_millis((predicted + lateness) as u64 + START_MARGIN_MILLIS);
+        let lateness_millis = engine.lateness_millis();
+        let starts_at =
+            now.after_millis((predicted + lateness_millis) as u64 + START_MARGIN_MILLIS);
         if !has_valid_weights(engine, criteria, now, starts_at) {
             continue;
         }
         let cost_millis = predicted
-            + lateness
+            + lateness_millis
             + extra_cost_millis(engine, criteria, now)
             + jitter_millis(key, draw);
         if best.is_none_or(|best| cost_millis < best.cost_millis) {
@@ -303,7 +304,7 @@
     let (Some(_), Some(model)) = (criteria.engine_model, criteria.model) else {
         return true;
     };
-    let Some(version) = engine.version_of(model, now) else {
+    let Some(version) = engine.loaded_version(model, now) else {
         return false;
     };
     // A request that is stuck on the way to a suspect engine could start after the cutover.
@@ -319,7 +320,7 @@
         .is_none_or(|stream_version| stream_version == version);
     matches_stream
         && version >= min_version(criteria.cutovers, starts_at)
-        && !engine.latest(now).is_busy
+        && !engine.latest_report(now).is_busy
 }
 
 fn predict(
@@ -339,7 +340,8 @@
         None => {
             let default_work = PLAIN_DEFAULT_WORK_SHARE * criteria.target_millis as f64;
             Components {
-                own_prompt_millis: engine.work_millis().unwrap_or(default_work) * engine.crowding(),
+                own_prompt_millis: engine.work_millis().unwrap_or(default_work)
+                    * engine.sharing_slowdown(),
                 ..Components::default()
             }
         }
@@ -356,7 +358,7 @@
         true => CRASH_RISK_COST_MILLIS * engine.occupancy(now),
         false => 0.0,
     };
-    zone_cost + sharing_cost + FAILURE_COST_MILLIS * engine.failure_share()
+    zone_cost + sharing_cost + FAILURE_COST_MILLIS * engine.failure_rate()
 }
 
 /// Returns the longest expected time to the first event at which the request is still admitted.
--- a/crates/gingerpier_serving/src/admission/availability.rs
+++ b/crates/gingerpier_serving/src/admission/availability.rs
@@ -148,10 +148,10 @@
     if engine.is_replaced {
         return Availability::Replaced;
     }
-    if engine.has_lapsed(now) {
+    if engine.has_expired(now) {
         return Availability::Lapsed;
     }
-    if !criteria.allowed_regions.admit(engine.region) {
+    if !criteria.allowed_regions.contains(engine.region) {
         return Availability::RegionNotAllowed;
     }
     if engine.is_evacuated {
@@ -178,7 +178,7 @@
     if expected > bound {
         return Availability::Full;
     }
-    match expected + engine.silence(now) as f64 > bound {
+    match expected + engine.overdue_millis(now) as f64 > bound {
         true => Availability::Silent,
         false => Availability::Open,
     }
@@ -191,7 +191,7 @@
     now: Instant,
 ) -> Option<Availability> {
     let model = criteria.model.filter(|_| criteria.engine_model.is_some())?;
-    let Some(version) = engine.version_of(model, now) else {
+    let Some(version) = engine.loaded_version(model, now) else {
         return Some(Availability::NoWeights);
     };
     let is_wrong_version = criteria
@@ -200,5 +200,8 @@
     if is_wrong_version || version < min_version(criteria.cutovers, now) {
         return Some(Availability::Outdated);
     }
-    engine.latest(now).is_busy.then_some(Availability::Ordered)
+    engine
+        .latest_report(now)
+        .is_busy
+        .then_some(Availability::Ordered)
 }
--- a/crates/gingerpier_serving/src/configuration.rs
+++ b/crates/gingerpier_serving/src/configuration.rs
@@ -2,7 +2,7 @@
 //! routing.
 
 use {
-    crate::region::{Homes, Regions},
+    crate::region::{RegionSet, Regions},
     gingerpier_base::order,
     std::{collections::HashMap, net::SocketAddr},
 };
@@ -17,7 +17,7 @@
 
 /// Key of a client account within its configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct TenantKey(pub u32);
+pub struct AccountKey(pub u32);
 
 /// How often a request may run, and whether its response is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     /// Target of the response time.
     pub target_millis: u64,
     /// Target of the longest pause between two events of a stream.
-    pub pause_millis: u64,
+    pub max_pause_millis: u64,
     /// Priority; 0 is the highest.
     pub priority: u8,
     /// Weighted services.
@@ -131,13 +131,13 @@
     /// Additional duration of a step per 1,000 context tokens of each running request.
     pub per_thousand_tokens_millis: f64,
     /// Prompt tokens that are processed per millisecond.
-    pub read_per_milli: f64,
+    pub prompt_tokens_per_milli: f64,
     /// Limit of the prompt tokens that are processed per pass; `None` if unknown.
-    pub read_at_once: Option<u32>,
+    pub max_prompt_tokens_per_pass: Option<u32>,
     /// Mean prompt length in tokens.
-    pub usual_prompt: u32,
+    pub mean_prompt_tokens: u32,
     /// Mean response length in tokens.
-    pub usual_answer: u32,
+    pub mean_answer_tokens: u32,
     /// Memory capacity of an engine in tokens.
     pub memory_tokens: u64,
     /// Names of the models.
@@ -146,7 +146,7 @@
 
 /// Client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Tenant {
+pub struct Account {
     /// Account name.
     pub name: String,
     /// Priority of its requests; `None` to use the route's.
@@ -203,7 +203,7 @@
     }
 
     /// Creates the services received from another process, with the digest that it computed.
-    pub const fn told(version: u64, list: Vec<Service>, weights_digest: u64) -> Self {
+    pub const fn received(version: u64, list: Vec<Service>, weights_digest: u64) -> Self {
         Self {
             version,
             list,
@@ -220,7 +220,7 @@
     pub fn for_loaders(&self) -> Self {
         let is_for_loaders = |service: &&Service| !matches!(service.kind, ServiceKind::Plain);
         let selected = self.list.iter().filter(is_for_loaders).cloned();
-        Self::told(self.version, selected.collect(), self.weights_digest())
+        Self::received(self.version, selected.collect(), self.weights_digest())
     }
 
     /// Services with engines and their performance models.
@@ -263,12 +263,12 @@
     pub limits: Limits,
     routes: Vec<Route>,
     services: Services,
-    tenants: Vec<Tenant>,
+    accounts: Vec<Account>,
     /// Resolved regions of routes and accounts, by key.
-    route_homes: Vec<Homes>,
-    tenant_homes: Vec<Homes>,
+    route_regions: Vec<RegionSet>,
+    account_regions: Vec<RegionSet>,
     by_host: HashMap<String, Vec<RouteKey>>,
-    by_key: HashMap<String, TenantKey>,
+    by_key: HashMap<String, AccountKey>,
 }
 
 impl Configuration {
@@ -278,7 +278,7 @@
         limits: Limits,
         routes: Vec<Route>,
         services: Vec<Service>,
-        tenants: Vec<Tenant>,
+        accounts: Vec<Account>,
     ) -> Self {
         let mut by_host: HashMap<String, Vec<RouteKey>> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
@@ -293,9 +293,9 @@
             keys.sort_by_key(|key| std::cmp::Reverse(length(key)));
         }
         let mut by_key = HashMap::new();
-        for (index, tenant) in tenants.iter().enumerate() {
-            for key in &tenant.keys {
-                by_key.insert(key.clone(), TenantKey(index as u32));
+        for (index, account) in accounts.iter().enumerate() {
+            for key in &account.keys {
+                by_key.insert(key.clone(), AccountKey(index as u32));
             }
         }
         // Until the regions are resolved, restricted routes and accounts match no region.
@@ -305,41 +305,43 @@
             limits,
             routes,
             services: Services::new(version, services),
-            tenants,
-            route_homes: Vec::new(),
-            tenant_homes: Vec::new(),
+            accounts,
+            route_regions: Vec::new(),
+            account_regions: Vec::new(),
             by_host,
             by_key,
         };
-        configuration.locate(&no_regions);
+        configuration.resolve_regions(&no_regions);
         configuration
     }
 
     /// Resolves the region names of routes and accounts.
-    pub fn locate(&mut self, regions: &Regions) {
+    pub fn resolve_regions(&mut self, regions: &Regions) {
         let routes = self.routes.iter();
-        self.route_homes = routes.map(|route| regions.homes(&route.regions)).collect();
-        let tenants = self.tenants.iter();
-        self.tenant_homes = tenants
-            .map(|tenant| regions.homes(&tenant.regions))
+        self.route_regions = routes
+            .map(|route| regions.resolve(&route.regions))
+            .collect();
+        let accounts = self.accounts.iter();
+        self.account_regions = accounts
+            .map(|account| regions.resolve(&account.regions))
             .collect();
     }
 
     /// Regions that both the route and the account allow.
-    pub fn homes(&self, route: RouteKey, tenant: Option<TenantKey>) -> Homes {
-        let route_regions = self.route_homes[route.0 as usize];
-        tenant.map_or(route_regions, |tenant| {
-            route_regions.and(self.tenant_homes[tenant.0 as usize])
+    pub fn allowed_regions(&self, route: RouteKey, account: Option<AccountKey>) -> RegionSet {
+        let route_regions = self.route_regions[route.0 as usize];
+        account.map_or(route_regions, |account| {
+            route_regions.intersection(self.account_regions[account.0 as usize])
         })
     }
 
     /// Names of all routes and accounts with their allowed regions.
-    pub fn bound(&self) -> impl Iterator<Item = (&str, &[String])> {
+    pub fn restrictions(&self) -> impl Iterator<Item = (&str, &[String])> {
         let routes = self.routes.iter();
         let routes = routes.map(|route| (route.name.as_str(), route.regions.as_slice()));
-        let tenants = self.tenants.iter();
-        let tenants = tenants.map(|tenant| (tenant.name.as_str(), tenant.regions.as_slice()));
-        routes.chain(tenants)
+        let accounts = self.accounts.iter();
+        let accounts = accounts.map(|account| (account.name.as_str(), account.regions.as_slice()));
+        routes.chain(accounts)
     }
 
     /// Finds the route with the longest matching prefix at `host`, ignoring the port.
@@ -385,22 +387,22 @@
     }
 
     /// True if requests to non-public routes require an API key.
-    pub fn needs_keys(&self) -> bool {
-        !self.tenants.is_empty()
+    pub fn requires_keys(&self) -> bool {
+        !self.accounts.is_empty()
     }
 
     /// Account of an API key.
-    pub fn tenant_of(&self, key: &str) -> Option<TenantKey> {
+    pub fn account_of(&self, key: &str) -> Option<AccountKey> {
         self.by_key.get(key).copied()
     }
 
     /// Account with this key.
-    pub fn tenant(&self, key: TenantKey) -> &Tenant {
-        &self.tenants[key.0 as usize]
+    pub fn account(&self, key: AccountKey) -> &Account {
+        &self.accounts[key.0 as usize]
     }
 
     /// Selects a service by weight; `draw` is a random number.
-    pub fn draw(&self, route: RouteKey, draw: u64) -> Option<ServiceKey> {
+    pub fn pick_service(&self, route: RouteKey, draw: u64) -> Option<ServiceKey> {
         let targets = &self.route(route).targets;
         let total: u64 = targets.iter().map(|target| u64::from(target.weight)).sum();
         if total == 0 {
--- a/crates/gingerpier_serving/src/engine.rs
+++ b/crates/gingerpier_serving/src/engine.rs
@@ -86,11 +86,11 @@
 
 /// Estimated requests of all gateways at one engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Seen {
+pub struct EstimatedLoad {
     /// Running and queued requests.
     pub requests: f64,
     /// Prompt tokens that are admitted but not yet processed.
-    pub unread_tokens: u64,
+    pub pending_prompt_tokens: u64,
 }
 
 /// One incarnation of an engine.
@@ -103,15 +103,15 @@
     /// Latest status report and its time.
     pub report: Option<(Report, Instant)>,
     /// True after the entry was removed or has expired.
-    pub is_gone: bool,
+    pub is_removed: bool,
     /// Time at which a missing entry expires; `None` while the entry exists.
-    pub(crate) lapses_at: Option<Instant>,
+    pub(crate) expires_at: Option<Instant>,
     /// Store revision of the latest entry.
     pub(crate) revision: Revision,
     /// True if a newer engine is listed at the same address, or if the service isn't configured.
     pub(crate) is_replaced: bool,
     /// Start time of this incarnation; `None` until known.
-    pub(crate) born: Option<Born>,
+    pub(crate) start_time: Option<Born>,
     /// Region of its zone; `None` if unknown.
     pub(crate) region: Option<RegionKey>,
     /// True while its zone is evacuated.
@@ -120,8 +120,8 @@
     pub warmup: Warmup,
     backoff_until: Instant,
     consecutive_failures: u32,
-    failure_share: f64,
-    lateness: f64,
+    failure_rate: f64,
+    lateness_millis: f64,
     error_millis: f64,
     /// Average time of a request without queueing; `None` until the first response.
     work_millis: Option<f64>,
@@ -138,12 +138,12 @@
 impl Engine {
     pub(crate) fn new(record: Record, revision: Revision) -> Self {
         Self {
-            born: record.report.born,
+            start_time: record.report.start_time,
             record,
             load: Load::default(),
             report: None,
-            is_gone: false,
-            lapses_at: None,
+            is_removed: false,
+            expires_at: None,
             revision,
             is_replaced: false,
             region: None,
@@ -151,8 +151,8 @@
             warmup: Warmup::default(),
             backoff_until: Instant::default(),
             consecutive_failures: 0,
-            failure_share: 0.0,
-            lateness: 0.0,
+            failure_rate: 0.0,
+            lateness_millis: 0.0,
             error_millis: 0.0,
             work_millis: None,
             is_suspect: false,
@@ -163,8 +163,8 @@
     }
 
     /// Start time of this incarnation; `None` until known.
-    pub const fn born(&self) -> Option<Born> {
-        self.born
+    pub const fn start_time(&self) -> Option<Born> {
+        self.start_time
     }
 
     /// Latest report, unless it is stale.
@@ -179,13 +179,13 @@
     }
 
     /// Latest report, or the one in the store entry if that is stale.
-    pub fn latest(&self, now: Instant) -> &Report {
+    pub fn latest_report(&self, now: Instant) -> &Report {
         self.fresh_report(now).unwrap_or(&self.record.report)
     }
 
     /// Newest version of `model` that is loaded.
-    pub fn version_of(&self, model: &str, now: Instant) -> Option<Version> {
-        let loaded = self.latest(now).held.iter();
+    pub fn loaded_version(&self, model: &str, now: Instant) -> Option<Version> {
+        let loaded = self.latest_report(now).loaded.iter();
         loaded
             .filter(|weights| weights.model == model)
             .map(|weights| weights.version)
@@ -193,13 +193,13 @@
     }
 
     /// True if the entry has been missing for longer than the grace period.
-    pub(crate) fn has_lapsed(&self, now: Instant) -> bool {
-        self.lapses_at.is_some_and(|at| at.has_passed(now))
+    pub(crate) fn has_expired(&self, now: Instant) -> bool {
+        self.expires_at.is_some_and(|at| at.has_passed(now))
     }
 
     /// True if the engine accepts new requests.
     pub fn is_open(&self, now: Instant) -> bool {
-        let is_listed = !self.is_gone && !self.is_replaced && !self.has_lapsed(now);
+        let is_listed = !self.is_removed && !self.is_replaced && !self.has_expired(now);
         is_listed
             && !self.is_evacuated
             && self.record.state == State::Ready
@@ -217,7 +217,7 @@
     }
 
     /// Estimates the requests of all gateways at the engine.
-    pub fn seen(&self, now: Instant) -> Seen {
+    pub fn estimated_load(&self, now: Instant) -> EstimatedLoad {
         let load = &self.load;
         match self.fresh_report(now) {
             Some(report) => {
@@ -227,32 +227,32 @@
                     .map(|request| request.prompt_tokens)
                     .sum();
                 let requests = report.active + report.queued + load.unreported.len() as u32;
-                Seen {
+                EstimatedLoad {
                     requests: f64::from(requests.max(load.in_flight)),
-                    unread_tokens: (report.unread_tokens + unreported_tokens)
+                    pending_prompt_tokens: (report.pending_prompt_tokens + unreported_tokens)
                         .max(load.waiting_tokens),
                 }
             }
-            None => Seen {
+            None => EstimatedLoad {
                 requests: f64::from(load.in_flight) * ASSUMED_GATEWAYS,
-                unread_tokens: (load.waiting_tokens as f64 * ASSUMED_GATEWAYS) as u64,
+                pending_prompt_tokens: (load.waiting_tokens as f64 * ASSUMED_GATEWAYS) as u64,
             },
         }
     }
 
     /// Estimated number of requests of all gateways.
     pub fn occupancy(&self, now: Instant) -> f64 {
-        self.seen(now).requests
+        self.estimated_load(now).requests
     }
 
     /// Average failure rate of recent requests, from 0 to 1.
-    pub const fn failure_share(&self) -> f64 {
-        self.failure_share
+    pub const fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 
     /// Average lateness of recent first events beyond the normal prediction error, in milliseconds.
-    pub const fn lateness(&self) -> f64 {
-        self.lateness
+    pub const fn lateness_millis(&self) -> f64 {
+        self.lateness_millis
     }
 
     /// Average prediction error of recent first events in milliseconds; positive if they were late.
@@ -266,20 +266,20 @@
     }
 
     /// Assumed slowdown of a request by the other requests of this gateway; 1 if there are none.
-    pub fn crowding(&self) -> f64 {
+    pub fn sharing_slowdown(&self) -> f64 {
         1.0 + f64::from(self.load.in_flight) / f64::from(self.record.slots.max(1))
     }
 
     /// Records the response time of a request that was sent at this slowdown factor.
-    pub fn note_work(&mut self, millis: f64, crowding: f64) {
-        let unshared_millis = millis / crowding.max(1.0);
+    pub fn record_work(&mut self, millis: f64, sharing_slowdown: f64) {
+        let unshared_millis = millis / sharing_slowdown.max(1.0);
         let average = self.work_millis.unwrap_or(unshared_millis);
         self.work_millis = Some(average + (unshared_millis - average) * WORK_WEIGHT);
     }
 
     /// Milliseconds by which a report or an acknowledgement of the engine's box is overdue, such as
     /// after a process pause or on a congested link.
-    pub fn silence(&self, now: Instant) -> u64 {
+    pub fn overdue_millis(&self, now: Instant) -> u64 {
         let age = self.report_age(now).unwrap_or_default();
         let report_overdue = age.saturating_sub(self.report_overdue_millis);
         let unacked_millis = self
@@ -289,27 +289,27 @@
     }
 
     /// Records that the engine's box acknowledged a message that was sent at `sent_at`.
-    pub fn note_echo(&mut self, sent_at: Instant) {
+    pub fn record_ack(&mut self, sent_at: Instant) {
         self.last_acked_sent_at = self.last_acked_sent_at.max(Some(sent_at));
     }
 
     /// Records how many milliseconds a first event came later than predicted; negative if earlier.
-    pub fn note_lateness(&mut self, millis: f64) {
+    pub fn record_lateness(&mut self, millis: f64) {
         let error = millis.clamp(-MAX_LATENESS_MILLIS, MAX_LATENESS_MILLIS);
         self.error_millis += (error - self.error_millis) * LATENESS_WEIGHT;
         let excess = (millis - LATENESS_TOLERANCE_MILLIS).clamp(0.0, MAX_LATENESS_MILLIS);
-        self.lateness += (excess - self.lateness) * LATENESS_WEIGHT;
+        self.lateness_millis += (excess - self.lateness_millis) * LATENESS_WEIGHT;
     }
 
     /// Records a report that was received from the engine's box.
-    pub fn note_report(&mut self, report: Report, now: Instant) {
+    pub fn record_report(&mut self, report: Report, now: Instant) {
         self.report_overdue_millis = REPORT_OVERDUE_MILLIS;
         self.apply_report(report, now);
     }
 
     /// Records a report from `at` that a gateway in the engine's zone forwarded; ignored if a newer
     /// one is known.
-    pub fn note_passed_on(&mut self, report: Report, at: Instant) {
+    pub fn record_forwarded_report(&mut self, report: Report, at: Instant) {
         if self
             .report
             .as_ref()
@@ -341,12 +341,12 @@
 
     /// Time since which the engine accepts no requests because of an order; `None` if it accepts
     /// them.
-    pub fn closed_millis(&self, now: Instant) -> Option<u64> {
+    pub fn blocked_millis(&self, now: Instant) -> Option<u64> {
         self.blocked_since.map(|since| now.millis_since(since))
     }
 
     /// Records a request with this prompt length as sent.
-    pub fn note_sent(&mut self, tokens: u64, now: Instant) {
+    pub fn record_sent(&mut self, tokens: u64, now: Instant) {
         self.warmup.record_sent(now);
         self.load.in_flight += 1;
         self.load.waiting += 1;
@@ -366,61 +366,62 @@
     }
 
     /// Records the first event of a request with this prompt length.
-    pub fn note_first(&mut self, tokens: u64) {
+    pub fn record_first_event(&mut self, tokens: u64) {
         self.load.waiting = self.load.waiting.saturating_sub(1);
         self.load.waiting_tokens = self.load.waiting_tokens.saturating_sub(tokens);
     }
 
     /// Records the end of a request; `waiting` is true if it had no first event.
-    pub fn note_end(&mut self, tokens: u64, waiting: bool) {
+    pub fn record_end(&mut self, tokens: u64, waiting: bool) {
         self.load.in_flight = self.load.in_flight.saturating_sub(1);
         if waiting {
-            self.note_first(tokens);
+            self.record_first_event(tokens);
         }
     }
 
     /// Records a successful response.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.is_suspect = false;
-        self.failure_share *= 1.0 - FAILURE_WEIGHT;
+        self.failure_rate *= 1.0 - FAILURE_WEIGHT;
     }
 
     /// Records a connection failure or an interrupted response, and backs off.
-    pub fn note_failure(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         let backoff =
             INITIAL_BACKOFF_MILLIS << self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         self.backoff_until = now.after_millis(backoff);
         self.consecutive_failures += 1;
-        self.failure_share += (1.0 - self.failure_share) * FAILURE_WEIGHT;
+        self.failure_rate += (1.0 - self.failure_rate) * FAILURE_WEIGHT;
     }
 
     /// Records a request that timed out without a response.
-    pub fn note_silence(&mut self, now: Instant) {
-        self.note_failure(now);
-        self.note_lateness(MAX_LATENESS_MILLIS);
+    pub fn record_timeout(&mut self, now: Instant) {
+        self.record_failure(now);
+        self.record_lateness(MAX_LATENESS_MILLIS);
         self.is_suspect = true;
-        self.rest(now.after_millis(TIMEOUT_BACKOFF_MILLIS));
+        self.back_off_until(now.after_millis(TIMEOUT_BACKOFF_MILLIS));
     }
 
     /// True after a request timed out without a response until the next success, and while first
     /// events are much later than predicted.
     pub fn is_suspect(&self) -> bool {
-        self.is_suspect || self.lateness > SUSPECT_LATENESS_MILLIS
+        self.is_suspect || self.lateness_millis > SUSPECT_LATENESS_MILLIS
     }
 
     /// True while a request to a suspect or silent engine is pending, so that no other one is sent.
     pub fn is_on_trial(&self, now: Instant) -> bool {
-        self.load.waiting > 0 && (self.is_suspect || self.silence(now) > TRIAL_OVERDUE_MILLIS)
+        self.load.waiting > 0
+            && (self.is_suspect || self.overdue_millis(now) > TRIAL_OVERDUE_MILLIS)
     }
 
     /// Records an error response of an engine that is otherwise healthy.
-    pub fn note_trouble(&mut self) {
-        self.failure_share += (1.0 - self.failure_share) * FAILURE_WEIGHT;
+    pub fn record_error_response(&mut self) {
+        self.failure_rate += (1.0 - self.failure_rate) * FAILURE_WEIGHT;
     }
 
     /// Backs off until this time.
-    pub fn rest(&mut self, until: Instant) {
+    pub fn back_off_until(&mut self, until: Instant) {
         self.backoff_until = self.backoff_until.max(until);
     }
 }
--- a/crates/gingerpier_serving/src/fleet.rs
+++ b/crates/gingerpier_serving/src/fleet.rs
@@ -105,7 +105,7 @@
 
 impl Fleet {
     /// Creates an empty registry with the regions of a deployment.
-    pub fn of(regions: Regions) -> Self {
+    pub fn with_regions(regions: Regions) -> Self {
         Self {
             regions,
             ..Self::default()
@@ -145,7 +145,8 @@
         let Some(key) = self.by_id.get(&record.id).copied() else {
             return self.add(record, revision);
         };
-        let comparison = StartComparison::compare(record.report.born, self.engine(key).born);
+        let comparison =
+            StartComparison::compare(record.report.start_time, self.engine(key).start_time);
         if comparison == StartComparison::Earlier {
             let entry = ContestedEntry {
                 record,
@@ -170,15 +171,15 @@
             State::Ready => record.state,
         };
         let former_address = engine.record.address;
-        engine.born = engine.born.or(record.report.born);
+        engine.start_time = engine.start_time.or(record.report.start_time);
         engine.record = Record { state, ..record };
         engine.revision = revision;
-        engine.lapses_at = None;
+        engine.expires_at = None;
         self.update_location(key);
         let engine = &mut self.engines[key.0 as usize];
         let address = engine.record.address;
-        if engine.is_gone {
-            engine.is_gone = false;
+        if engine.is_removed {
+            engine.is_removed = false;
             let service = engine.record.service.clone();
             self.by_service.entry(service).or_default().push(key);
         }
@@ -218,13 +219,17 @@
     /// Returns the incarnation at `address` that a message with this start time belongs to; `None`
     /// if it has ended or isn't listed. A later incarnation replaces the known one even before its
     /// entry arrives.
-    pub fn incarnation(&mut self, address: SocketAddr, born: Option<Born>) -> Option<EngineKey> {
+    pub fn resolve_incarnation(
+        &mut self,
+        address: SocketAddr,
+        born: Option<Born>,
+    ) -> Option<EngineKey> {
         let key = self.at_address(address)?;
-        match StartComparison::compare(born, self.engine(key).born) {
+        match StartComparison::compare(born, self.engine(key).start_time) {
             StartComparison::Earlier => None,
             StartComparison::Same => {
                 let engine = self.engine_mut(key);
-                engine.born = engine.born.or(born);
+                engine.start_time = engine.start_time.or(born);
                 Some(key)
             }
             StartComparison::Later => {
@@ -233,7 +238,7 @@
                 let record = Record {
                     state: State::Ready,
                     report: Report {
-                        born,
+                        start_time: born,
                         ..Report::default()
                     },
                     ..engine.record.clone()
@@ -245,7 +250,7 @@
 
     /// Accepts entries with an earlier start time whose known incarnation no longer reports, as the
     /// engine's clock may have been set back. Returns the ids of these engines.
-    pub fn settle_doubts(&mut self, now: Instant) -> Vec<String> {
+    pub fn accept_contested(&mut self, now: Instant) -> Vec<String> {
         let mut accepted = Vec::new();
         let mut contested = std::mem::take(&mut self.contested);
         contested.retain(|id, entry| {
@@ -302,13 +307,13 @@
         }
         // The latest engine is kept even if it isn't listed anymore, so that earlier ones stay
         // replaced.
-        address_keys.retain(|key| Some(*key) == latest || !engines[key.0 as usize].is_gone);
+        address_keys.retain(|key| Some(*key) == latest || !engines[key.0 as usize].is_removed);
     }
 
     fn remove(&mut self, key: EngineKey) {
         let engine = &mut self.engines[key.0 as usize];
-        engine.is_gone = true;
-        engine.lapses_at = None;
+        engine.is_removed = true;
+        engine.expires_at = None;
         if let Some(keys) = self.by_service.get_mut(&engine.record.service) {
             keys.retain(|other| *other != key);
         }
@@ -324,11 +329,11 @@
 
     /// Marks an entry as missing: a ready engine is removed at `until` unless its entry returns, a
     /// draining one immediately.
-    pub fn lapse(&mut self, id: &str, until: Instant) {
+    pub fn mark_missing(&mut self, id: &str, until: Instant) {
         let Some(key) = self.find(id) else { return };
         let engine = self.engine_mut(key);
         match engine.record.state {
-            State::Ready => engine.lapses_at = Some(until),
+            State::Ready => engine.expires_at = Some(until),
             State::Draining => {
                 self.unlist(id);
             }
@@ -336,8 +341,8 @@
     }
 
     /// Removes the engines whose missing entries have expired, and returns them.
-    pub fn expire(&mut self, now: Instant) -> Vec<EngineKey> {
-        let is_expired = |engine: &Engine| engine.lapses_at.is_some_and(|at| at.has_passed(now));
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<EngineKey> {
+        let is_expired = |engine: &Engine| engine.expires_at.is_some_and(|at| at.has_passed(now));
         let expired = self.listed().filter(|(_, engine)| is_expired(engine));
         let expired: Vec<EngineKey> = expired.map(|(key, _)| key).collect();
         for key in &expired {
@@ -372,7 +377,7 @@
     }
 
     /// Listed engines of a service that aren't replaced by a newer one at the same address.
-    pub fn present<'a>(
+    pub fn current_of_service<'a>(
         &'a self,
         service: &str,
     ) -> impl Iterator<Item = (EngineKey, &'a Engine)> + use<'a> {
@@ -383,12 +388,12 @@
     /// All listed engines.
     pub fn listed(&self) -> impl Iterator<Item = (EngineKey, &Engine)> {
         let all = self.engines.iter().enumerate();
-        all.filter(|(_, engine)| !engine.is_gone)
+        all.filter(|(_, engine)| !engine.is_removed)
             .map(|(index, engine)| (EngineKey(index as u32), engine))
     }
 
     /// All engines, including removed ones.
-    pub fn known(&self) -> impl Iterator<Item = &Engine> {
+    pub fn all_engines(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter()
     }
 
@@ -396,6 +401,6 @@
     pub fn at_address(&self, address: SocketAddr) -> Option<EngineKey> {
         let mut address_keys = self.by_address.get(&address)?.iter().copied();
         let key = address_keys.find(|key| !self.engine(*key).is_replaced)?;
-        (!self.engine(key).is_gone).then_some(key)
+        (!self.engine(key).is_removed).then_some(key)
     }
 }
--- a/crates/gingerpier_serving/src/prediction.rs
+++ b/crates/gingerpier_serving/src/prediction.rs
@@ -26,7 +26,8 @@
 
 /// Returns the duration of a pass with `running` requests.
 pub fn pass_millis(model: &EngineModel, running: f64) -> f64 {
-    let context_thousands = f64::from(model.usual_prompt + model.usual_answer / 2) / 1_000.0;
+    let context_thousands =
+        f64::from(model.mean_prompt_tokens + model.mean_answer_tokens / 2) / 1_000.0;
     let per_request_step_millis =
         model.per_request_millis + model.per_thousand_tokens_millis * context_thousands;
     f64::from(model.stride) * (model.step_millis + per_request_step_millis * running)
@@ -35,13 +36,13 @@
 /// Returns the engine time that an average request takes when all slots are in use.
 pub fn mean_work_millis(model: &EngineModel) -> f64 {
     let slots = f64::from(model.slots.max(1));
-    let passes = f64::from(model.usual_answer) / f64::from(model.stride.max(1));
+    let passes = f64::from(model.mean_answer_tokens) / f64::from(model.stride.max(1));
     passes * pass_millis(model, slots) / slots + mean_prompt_millis(model)
 }
 
 /// Returns the time in which an engine processes an average prompt.
 pub fn mean_prompt_millis(model: &EngineModel) -> f64 {
-    f64::from(model.usual_prompt) / model.read_per_milli
+    f64::from(model.mean_prompt_tokens) / model.prompt_tokens_per_milli
 }
 
 /// Returns the time to the first event on an idle engine.
@@ -97,19 +98,19 @@
     let age_millis = engine.report_age(now).unwrap_or_default();
     let age_millis = age_millis.min(MAX_UNREPORTED_MILLIS) as f64;
     let unreported = SELECTION_BIAS * unreported_per_milli * age_millis;
-    let load = engine.seen(now);
+    let load = engine.estimated_load(now);
     let requests = load.requests + unreported;
     let slots = f64::from(model.slots);
     let running = requests.min(slots);
     let queue = (requests + 1.0 - slots).max(0.0) * mean_work_millis(model);
     let passes = PASSES_TO_FIRST_EVENT + REMAINING_PASS_SHARE * running.min(1.0);
     // The prompts of queued requests are part of the queueing time.
-    let unreported_tokens = unreported.min(slots) * f64::from(model.usual_prompt);
-    let tokens_ahead =
-        remaining_tokens(model, load.unread_tokens, running, age_millis) + unreported_tokens;
+    let unreported_tokens = unreported.min(slots) * f64::from(model.mean_prompt_tokens);
+    let tokens_ahead = remaining_tokens(model, load.pending_prompt_tokens, running, age_millis)
+        + unreported_tokens;
     let others = prompt_millis(model, tokens_ahead, running);
     let prompt_millis_total = prompt_millis(model, prompt_tokens as f64 + tokens_ahead, running);
-    let slowdown = engine.latest(now).pace.max(1.0);
+    let slowdown = engine.latest_report(now).slowdown.max(1.0);
     Components {
         queue_millis: queue * slowdown,
         pass_millis: passes * pass_millis(model, running) * slowdown,
@@ -126,7 +127,7 @@
     running: f64,
     millis: f64,
 ) -> f64 {
-    let processed = millis * backlog::read_per_milli(model, running);
+    let processed = millis * backlog::prompt_tokens_per_milli(model, running);
     (unprocessed_tokens as f64 - processed).max(0.0)
 }
 
@@ -134,8 +135,8 @@
 /// including the passes between prompt chunks.
 fn prompt_millis(model: &EngineModel, tokens: f64, running: f64) -> f64 {
     let chunks = model
-        .read_at_once
+        .max_prompt_tokens_per_pass
         .map_or(0.0, |chunk_tokens| tokens / f64::from(chunk_tokens.max(1)));
     let interleaved_millis = (chunks - 1.0).max(0.0) * pass_millis(model, running);
-    tokens / model.read_per_milli + interleaved_millis
+    tokens / model.prompt_tokens_per_milli + interleaved_millis
 }
--- a/crates/gingerpier_serving/src/region.rs
+++ b/crates/gingerpier_serving/src/region.rs
@@ -4,14 +4,14 @@
 //! configuration is applied, so that engine selection only compares bits.
 //!
 //! ```
-//! use gingerpier_serving::region::{Homes, Regions};
+//! use gingerpier_serving::region::{RegionSet, Regions};
 //!
 //! let regions = Regions::new([("kochi-a", "kochi"), ("tvm-b", "trivandrum")]);
-//! let kochi = regions.homes(&["kochi".to_owned()]);
-//! assert!(kochi.admit(regions.of_zone("kochi-a")));
-//! assert!(!kochi.admit(regions.of_zone("tvm-b")));
-//! assert!(!kochi.admit(regions.of_zone("nowhere")));
-//! assert!(Homes::ANYWHERE.admit(regions.of_zone("nowhere")));
+//! let kochi = regions.resolve(&["kochi".to_owned()]);
+//! assert!(kochi.contains(regions.of_zone("kochi-a")));
+//! assert!(!kochi.contains(regions.of_zone("tvm-b")));
+//! assert!(!kochi.contains(regions.of_zone("nowhere")));
+//! assert!(RegionSet::ALL.contains(regions.of_zone("nowhere")));
 //! ```
 
 use std::collections::HashMap;
@@ -25,29 +25,29 @@
 
 /// Set of regions, one bit each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Homes(u64);
+pub struct RegionSet(u64);
 
-impl Homes {
+impl RegionSet {
     /// Every region, including the unknown region of an unlisted zone.
-    pub const ANYWHERE: Self = Self(u64::MAX);
+    pub const ALL: Self = Self(u64::MAX);
 
     /// The empty set.
-    pub const NOWHERE: Self = Self(0);
+    pub const NONE: Self = Self(0);
 
     /// Intersection of two sets.
-    pub const fn and(self, other: Self) -> Self {
+    pub const fn intersection(self, other: Self) -> Self {
         Self(self.0 & other.0)
     }
 
     /// Returns true if the set contains `region`; `None` is the unknown region of an unlisted zone.
-    pub fn admit(self, region: Option<RegionKey>) -> bool {
-        self == Self::ANYWHERE || region.is_some_and(|region| self.0 & (1 << region.0) != 0)
+    pub fn contains(self, region: Option<RegionKey>) -> bool {
+        self == Self::ALL || region.is_some_and(|region| self.0 & (1 << region.0) != 0)
     }
 }
 
-impl Default for Homes {
+impl Default for RegionSet {
     fn default() -> Self {
-        Self::ANYWHERE
+        Self::ALL
     }
 }
 
@@ -94,11 +94,11 @@
 
     /// Resolves a list of region names; an empty list is no restriction. Unknown names are ignored,
     /// so a list of only unknown names yields the empty set.
-    pub fn homes(&self, names: &[String]) -> Homes {
+    pub fn resolve(&self, names: &[String]) -> RegionSet {
         if names.is_empty() {
-            return Homes::ANYWHERE;
+            return RegionSet::ALL;
         }
         let known = names.iter().filter_map(|name| self.find(name));
-        Homes(known.fold(0, |bits, region| bits | (1 << region.0)))
+        RegionSet(known.fold(0, |bits, region| bits | (1 << region.0)))
     }
 }
--- a/crates/gingerpier_serving/src/report.rs
+++ b/crates/gingerpier_serving/src/report.rs
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Report {
     /// Start time of the engine; `None` if not reported.
-    pub born: Option<Born>,
+    pub start_time: Option<Born>,
     /// Loaded weights.
-    pub held: Vec<Held>,
+    pub loaded: Vec<Held>,
     /// True while the engine executes an order.
     pub is_busy: bool,
     /// Number of orders that the engine has received.
@@ -34,11 +34,11 @@
     /// Running requests.
     pub active: u32,
     /// Tokens in memory that can't be evicted.
-    pub memory_used: u64,
+    pub memory_used_tokens: u64,
     /// Memory capacity in tokens.
-    pub memory_total: u64,
+    pub memory_total_tokens: u64,
     /// Estimated prompt tokens that are admitted but not yet processed.
-    pub unread_tokens: u64,
+    pub pending_prompt_tokens: u64,
     /// Slowdown factor; 1 is normal speed.
-    pub pace: f64,
+    pub slowdown: f64,
 }
--- a/crates/gingerpier_serving/tests/decisions.rs
+++ b/crates/gingerpier_serving/tests/decisions.rs
@@ -8,8 +8,8 @@
         backlog::Backlog,
         budget::{self, Budget},
         configuration::{
-            Configuration, EngineModel, Limits, Repeat, Route, Service, ServiceKey, ServiceKind,
-            Target, Tenant,
+            Account, Configuration, EngineModel, Limits, Repeat, Route, Service, ServiceKey,
+            ServiceKind, Target,
         },
         events::Splitter,
         fairness::Adjustment,
@@ -17,7 +17,7 @@
         mirror::{Item, Mirror, Revision},
         pacing::Pacer,
         prediction,
-        region::Homes,
+        region::RegionSet,
         report::{Held, Report, Version},
         retry::{Action, Failure, RetryState},
         shedding,
@@ -38,10 +38,10 @@
         step_millis: 9.27,
         per_request_millis: 0.0232,
         per_thousand_tokens_millis: 0.0322,
-        read_per_milli: 20.7,
-        read_at_once: Some(2_048),
-        usual_prompt: 979,
-        usual_answer: 92,
+        prompt_tokens_per_milli: 20.7,
+        max_prompt_tokens_per_pass: Some(2_048),
+        mean_prompt_tokens: 979,
+        mean_answer_tokens: 92,
         memory_tokens: 317_000,
         models: vec!["m".to_owned()],
     }
@@ -49,12 +49,12 @@
 
 fn report(version: u64, active: u32) -> Report {
     Report {
-        held: vec![Held {
+        loaded: vec![Held {
             model: "m".to_owned(),
             version: Version(version),
         }],
         active,
-        pace: 1.0,
+        slowdown: 1.0,
         ..Report::default()
     }
 }
@@ -115,7 +115,7 @@
         other_arrivals_per_milli: 0.0,
         tried_engines: &[],
         may_crash_engine: false,
-        allowed_regions: Homes::ANYWHERE,
+        allowed_regions: RegionSet::ALL,
         cold_limits: warmup::ColdLimits::NEVER_COLD,
     }
 }
@@ -136,20 +136,20 @@
     assert_eq!(count(&Fleet::default()), "none");
     let (mut fleet, keys) = fleet(6);
     let empty = Report {
-        held: Vec::new(),
+        loaded: Vec::new(),
         ..report(1, 0)
     };
-    fleet.engine_mut(keys[0]).note_report(empty, at(900));
+    fleet.engine_mut(keys[0]).record_report(empty, at(900));
     fleet
         .engine_mut(keys[1])
-        .note_report(report(1, 200), at(900));
-    fleet.engine_mut(keys[2]).note_report(report(1, 0), at(0));
-    fleet.engine_mut(keys[3]).note_failure(at(900));
+        .record_report(report(1, 200), at(900));
+    fleet.engine_mut(keys[2]).record_report(report(1, 0), at(0));
+    fleet.engine_mut(keys[3]).record_failure(at(900));
     let busy = Report {
         is_busy: true,
         ..report(1, 0)
     };
-    fleet.engine_mut(keys[4]).note_report(busy, at(900));
+    fleet.engine_mut(keys[4]).record_report(busy, at(900));
     assert_eq!(
         count(&fleet),
         "empty:1,ordered:1,resting:1,silent:1,full:1,open:1"
@@ -161,7 +161,9 @@
 fn refusal_reports_the_components_of_its_prediction() {
     let (model, tried) = (model(), []);
     let (mut fleet, keys) = fleet(1);
-    fleet.engine_mut(keys[0]).note_report(report(1, 20), at(0));
+    fleet
+        .engine_mut(keys[0])
+        .record_report(report(1, 20), at(0));
     let refusal = |tokens| {
         let criteria = Criteria {
             prompt_tokens: tokens,
@@ -202,10 +204,12 @@
         ..criteria(&model, &[], &tried)
     };
     let (mut fleet, keys) = fleet(1);
-    fleet.engine_mut(keys[0]).note_report(report(1, 0), at(0));
+    fleet.engine_mut(keys[0]).record_report(report(1, 0), at(0));
     let choose = |fleet: &Fleet| selected_engine(admission::choose(fleet, &large, at(10), 0));
     assert_eq!(choose(&fleet), Some(keys[0]));
-    fleet.engine_mut(keys[0]).note_report(report(1, 40), at(0));
+    fleet
+        .engine_mut(keys[0])
+        .record_report(report(1, 40), at(0));
     assert_eq!(
         choose(&fleet),
         None,
@@ -223,13 +227,13 @@
     };
     let (mut fleet, keys) = fleet(1);
     let slow = |active| Report {
-        pace: 3.0,
+        slowdown: 3.0,
         ..report(1, active)
     };
-    fleet.engine_mut(keys[0]).note_report(slow(0), at(0));
+    fleet.engine_mut(keys[0]).record_report(slow(0), at(0));
     let choose = |fleet: &Fleet| selected_engine(admission::choose(fleet, &large, at(10), 0));
     assert_eq!(choose(&fleet), Some(keys[0]));
-    fleet.engine_mut(keys[0]).note_report(slow(16), at(0));
+    fleet.engine_mut(keys[0]).record_report(slow(16), at(0));
     assert_eq!(
         choose(&fleet),
         None,
@@ -249,13 +253,13 @@
     };
     let (mut fleet, keys) = fleet(40);
     let empty = Report {
-        held: Vec::new(),
+        loaded: Vec::new(),
         ..report(1, 0)
     };
     for key in &keys[1..] {
-        fleet.engine_mut(*key).note_report(empty.clone(), at(0));
+        fleet.engine_mut(*key).record_report(empty.clone(), at(0));
     }
-    fleet.engine_mut(keys[0]).note_report(report(1, 0), at(0));
+    fleet.engine_mut(keys[0]).record_report(report(1, 0), at(0));
     let refused = (0..1_000).filter(|draw| {
         let choice = admission::choose(&fleet, &returned, at(10), *draw);
         selected_engine(choice).is_none()
@@ -301,11 +305,15 @@
     let (mut fleet, keys) = fleet(2);
     let model = model();
     for (key, active) in keys.iter().zip([40, 3]) {
-        fleet.engine_mut(*key).note_report(report(1, active), at(0));
+        fleet
+            .engine_mut(*key)
+            .record_report(report(1, active), at(0));
     }
     let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert_eq!(selected_engine(choice), Some(keys[1]));
-    fleet.engine_mut(keys[1]).note_report(report(1, 40), at(0));
+    fleet
+        .engine_mut(keys[1])
+        .record_report(report(1, 40), at(0));
     let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert!(matches!(choice, Choice::Full(_)));
 }
@@ -313,9 +321,11 @@
 #[test]
 fn own_requests_count_before_a_report_includes_them() {
     let (mut fleet, keys) = fleet(1);
-    fleet.engine_mut(keys[0]).note_report(report(1, 10), at(0));
+    fleet
+        .engine_mut(keys[0])
+        .record_report(report(1, 10), at(0));
     for _ in 0..12 {
-        fleet.engine_mut(keys[0]).note_sent(979, at(1));
+        fleet.engine_mut(keys[0]).record_sent(979, at(1));
     }
     assert!(fleet.engine(keys[0]).occupancy(at(2)) >= 22.0);
 }
@@ -324,7 +334,7 @@
 fn engine_without_responses_gets_one_trial_request_after_its_backoff() {
     let (mut fleet, keys) = fleet(1);
     let model = model();
-    fleet.engine_mut(keys[0]).note_silence(at(0));
+    fleet.engine_mut(keys[0]).record_timeout(at(0));
     let choose = |fleet: &Fleet, now| {
         selected_engine(admission::choose(
             fleet,
@@ -335,13 +345,13 @@
     };
     assert_eq!(choose(&fleet, at(900)), None);
     assert_eq!(choose(&fleet, at(1_100)), Some(keys[0]));
-    fleet.engine_mut(keys[0]).note_sent(979, at(1_100));
+    fleet.engine_mut(keys[0]).record_sent(979, at(1_100));
     assert_eq!(
         choose(&fleet, at(1_200)),
         None,
         "only one trial request at a time"
     );
-    fleet.engine_mut(keys[0]).note_success();
+    fleet.engine_mut(keys[0]).record_success();
     assert_eq!(choose(&fleet, at(1_300)), Some(keys[0]));
 }
 
@@ -349,13 +359,13 @@
 fn overdue_reports_and_acknowledgements_count_as_silence() {
     let (mut fleet, keys) = fleet(1);
     let engine = fleet.engine_mut(keys[0]);
-    engine.note_report(report(1, 0), at(0));
-    assert_eq!(engine.silence(at(300)), 0);
-    assert_eq!(engine.silence(at(1_350)), 1_000);
-    engine.note_echo(at(0));
-    engine.note_report(report(1, 0), at(3_000));
+    engine.record_report(report(1, 0), at(0));
+    assert_eq!(engine.overdue_millis(at(300)), 0);
+    assert_eq!(engine.overdue_millis(at(1_350)), 1_000);
+    engine.record_ack(at(0));
+    engine.record_report(report(1, 0), at(3_000));
     assert_eq!(
-        engine.silence(at(3_100)),
+        engine.overdue_millis(at(3_100)),
         2_000,
         "reports arrive but acknowledgements do not"
     );
@@ -390,7 +400,7 @@
         version: Version(2),
         at: at(8_000),
     }];
-    fleet.engine_mut(keys[0]).note_silence(at(0));
+    fleet.engine_mut(keys[0]).record_timeout(at(0));
     let choose = |due: &[Cutover]| {
         selected_engine(admission::choose(
             &fleet,
@@ -411,7 +421,7 @@
 fn stream_resumes_only_on_its_own_version() {
     let (mut fleet, keys) = fleet(2);
     let model = model();
-    fleet.engine_mut(keys[1]).note_report(report(2, 0), at(0));
+    fleet.engine_mut(keys[1]).record_report(report(2, 0), at(0));
     let resumed = Criteria {
         resume_version: Some(Version(2)),
         ..criteria(&model, &[], &[])
@@ -612,7 +622,7 @@
         repeat: Repeat::Safe,
         timeout_millis: 1_000,
         target_millis: 100,
-        pause_millis: 100,
+        max_pause_millis: 100,
         priority: 0,
         targets: vec![Target {
             service: ServiceKey(service),
@@ -632,7 +642,7 @@
         cold_per_second: 0.0,
         kind: ServiceKind::Plain,
     };
-    let tenant = Tenant {
+    let account = Account {
         name: "t".to_owned(),
         priority: None,
         keys: vec!["k".to_owned()],
@@ -640,7 +650,7 @@
     };
     let routes = vec![route("/a/", 0), route("/a/b/", 0)];
     let configuration =
-        Configuration::new(1, Limits::default(), routes, vec![service], vec![tenant]);
+        Configuration::new(1, Limits::default(), routes, vec![service], vec![account]);
     let name = |path| {
         let key = configuration.find("host.example:80", path)?;
         Some(configuration.route(key).name.as_str())
@@ -649,8 +659,8 @@
     assert_eq!(name("/a/bc"), Some("/a/"));
     assert_eq!(name("/b/"), None);
     assert!(configuration.find("other.example", "/a/").is_none());
-    assert!(configuration.tenant_of("k").is_some());
-    assert!(configuration.tenant_of("K").is_none());
+    assert!(configuration.account_of("k").is_some());
+    assert!(configuration.account_of("K").is_none());
 }
 
 const UPDATE_TERMS: Bound = Bound {
@@ -726,12 +736,12 @@
 fn pending_prompts_of_other_gateways_count() {
     let (mut fleet, keys) = fleet(2);
     let model = model();
-    for (key, unread_tokens) in keys.iter().zip([9_000, 0]) {
+    for (key, pending_prompt_tokens) in keys.iter().zip([9_000, 0]) {
         let report = Report {
-            unread_tokens,
+            pending_prompt_tokens,
             ..report(1, 8)
         };
-        fleet.engine_mut(*key).note_report(report, at(0));
+        fleet.engine_mut(*key).record_report(report, at(0));
     }
     let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert_eq!(selected_engine(choice), Some(keys[1]));
@@ -747,7 +757,7 @@
 fn prediction_includes_arrivals_since_the_report() {
     let (mut fleet, keys) = fleet(1);
     let model = model();
-    fleet.engine_mut(keys[0]).note_report(report(1, 4), at(0));
+    fleet.engine_mut(keys[0]).record_report(report(1, 4), at(0));
     let first = |now| {
         let engine = fleet.engine(keys[0]);
         prediction::predict_first_event(engine, &model, 979, 0.01, now).total_millis()
@@ -759,8 +769,8 @@
 fn backlog_follows_admitted_and_processed_prompts() {
     let model = model();
     let mut backlog = Backlog::default();
-    let report = |active, memory_used| Report {
-        memory_used,
+    let report = |active, memory_used_tokens| Report {
+        memory_used_tokens,
         ..report(1, active)
     };
     backlog.update(&report(0, 0), &model, at(0));
@@ -782,12 +792,12 @@
         ..report(1, 4)
     };
     let engine = fleet.engine_mut(keys[0]);
-    assert_eq!(engine.closed_millis(at(0)), None);
-    engine.note_report(busy.clone(), at(0));
-    engine.note_report(busy, at(50));
-    assert_eq!(engine.closed_millis(at(300)), Some(300));
-    engine.note_report(report(2, 0), at(400));
-    assert_eq!(engine.closed_millis(at(500)), None);
+    assert_eq!(engine.blocked_millis(at(0)), None);
+    engine.record_report(busy.clone(), at(0));
+    engine.record_report(busy, at(50));
+    assert_eq!(engine.blocked_millis(at(300)), Some(300));
+    engine.record_report(report(2, 0), at(400));
+    assert_eq!(engine.blocked_millis(at(500)), None);
 }
 
 #[test]
@@ -812,7 +822,7 @@
     );
     for _ in 0..50 {
         // Twice the unshared time, with as many concurrent requests as slots.
-        fleet.engine_mut(keys[0]).note_work(80.0, 2.0);
+        fleet.engine_mut(keys[0]).record_work(80.0, 2.0);
     }
     assert!((predicted(&fleet) - 40.0).abs() < 1.0);
 }
@@ -878,7 +888,7 @@
     for (index, key) in keys.iter().enumerate() {
         let active = if index == 0 { 0 } else { 2 };
         let engine = fleet.engine_mut(*key);
-        engine.note_report(report(1, active), at(0));
+        engine.record_report(report(1, active), at(0));
     }
     let model = model();
     let criteria = Criteria {
--- a/crates/gingerpier_serving/tests/fairness.rs
+++ b/crates/gingerpier_serving/tests/fairness.rs
@@ -9,7 +9,7 @@
         fairness::{Adjustment, SlackStats},
         fleet::{Fleet, Record, State},
         mirror::Revision,
-        region::Homes,
+        region::RegionSet,
         report::{Held, Report, Version},
         return_detection::Visit,
         shedding::{self, Controller},
@@ -28,10 +28,10 @@
         step_millis: 9.27,
         per_request_millis: 0.0232,
         per_thousand_tokens_millis: 0.0322,
-        read_per_milli: 20.7,
-        read_at_once: Some(2_048),
-        usual_prompt: 979,
-        usual_answer: 92,
+        prompt_tokens_per_milli: 20.7,
+        max_prompt_tokens_per_pass: Some(2_048),
+        mean_prompt_tokens: 979,
+        mean_answer_tokens: 92,
         memory_tokens: 317_000,
         models: vec!["m".to_owned()],
     }
@@ -40,12 +40,12 @@
 /// Creates a fleet of one engine with `active` running requests.
 fn fleet(active: u32) -> Fleet {
     let report = Report {
-        held: vec![Held {
+        loaded: vec![Held {
             model: "m".to_owned(),
             version: Version(1),
         }],
         active,
-        pace: 1.0,
+        slowdown: 1.0,
         ..Report::default()
     };
     let mut fleet = Fleet::default();
@@ -62,7 +62,7 @@
         },
         Revision(1),
     );
-    fleet.engine_mut(key).note_report(report, at(0));
+    fleet.engine_mut(key).record_report(report, at(0));
     fleet
 }
 
@@ -89,7 +89,7 @@
         other_arrivals_per_milli: 0.0,
         tried_engines: &[],
         may_crash_engine: false,
-        allowed_regions: Homes::ANYWHERE,
+        allowed_regions: RegionSet::ALL,
         cold_limits: ColdLimits::NEVER_COLD,
     };
     let is_admitted = |active: &u32| {
--- a/crates/gingerpier_serving/tests/incarnations.rs
+++ b/crates/gingerpier_serving/tests/incarnations.rs
@@ -34,9 +34,9 @@
 
 fn report(born: Option<u64>, version: u64) -> Report {
     Report {
-        born: born.map(Born),
-        held: held(version),
-        pace: 1.0,
+        start_time: born.map(Born),
+        loaded: held(version),
+        slowdown: 1.0,
         ..Report::default()
     }
 }
@@ -73,9 +73,12 @@
     fleet.list(record(None, State::Ready, 1), Revision(2));
     assert!(!fleet.engine(key).is_open(at(0)), "draining is final");
     // An engine that begins to report its start time is the same incarnation.
-    assert_eq!(fleet.incarnation(address(), Some(Born(5))), Some(key));
-    assert_eq!(fleet.incarnation(address(), None), Some(key));
-    assert_eq!(fleet.incarnation(address(), Some(Born(4))), None);
+    assert_eq!(
+        fleet.resolve_incarnation(address(), Some(Born(5))),
+        Some(key)
+    );
+    assert_eq!(fleet.resolve_incarnation(address(), None), Some(key));
+    assert_eq!(fleet.resolve_incarnation(address(), Some(Born(4))), None);
 }
 
 #[test]
@@ -83,24 +86,24 @@
     let mut fleet = Fleet::default();
     let old = fleet.list(record(Some(10), State::Ready, 3), Revision(1));
     let engine = fleet.engine_mut(old);
-    engine.note_report(report(Some(10), 3), at(0));
-    engine.note_sent(900, at(0));
-    engine.note_silence(at(0));
+    engine.record_report(report(Some(10), 3), at(0));
+    engine.record_sent(900, at(0));
+    engine.record_timeout(at(0));
     let new = fleet
-        .incarnation(address(), Some(Born(11)))
+        .resolve_incarnation(address(), Some(Born(11)))
         .expect("the engine is listed");
     assert_ne!(new, old);
     let engine = fleet.engine(new);
     assert!(engine.is_open(at(10)), "no backoff");
     assert_eq!(
-        engine.version_of("m", at(10)),
+        engine.loaded_version("m", at(10)),
         None,
         "no weights are loaded"
     );
     assert_eq!(engine.load.in_flight, 0);
     assert!(!engine.is_suspect());
     // The end of a former request isn't attributed to the new incarnation.
-    fleet.engine_mut(old).note_end(900, true);
+    fleet.engine_mut(old).record_end(900, true);
     assert_eq!(fleet.engine(new).load.in_flight, 0);
 }
 
@@ -110,18 +113,18 @@
     let old = fleet.list(record(Some(1_000), State::Ready, 1), Revision(1));
     fleet
         .engine_mut(old)
-        .note_report(report(Some(1_000), 1), at(0));
+        .record_report(report(Some(1_000), 1), at(0));
     fleet.list(record(Some(500), State::Ready, 2), Revision(2));
     assert_eq!(fleet.find(ID), Some(old), "the entry may be stale");
     // The known incarnation still reports, so the entry was stale.
-    assert!(fleet.settle_doubts(at(100)).is_empty());
-    assert!(fleet.settle_doubts(at(60_000)).is_empty());
+    assert!(fleet.accept_contested(at(100)).is_empty());
+    assert!(fleet.accept_contested(at(60_000)).is_empty());
     // The known incarnation no longer reports.
     fleet.list(record(Some(500), State::Ready, 2), Revision(3));
-    assert!(fleet.settle_doubts(at(60_000)).is_empty());
-    assert_eq!(fleet.settle_doubts(at(75_000)), [ID]);
+    assert!(fleet.accept_contested(at(60_000)).is_empty());
+    assert_eq!(fleet.accept_contested(at(75_000)), [ID]);
     let key = fleet.find(ID).expect("the engine is known");
-    assert_eq!(fleet.engine(key).born(), Some(Born(500)));
+    assert_eq!(fleet.engine(key).start_time(), Some(Born(500)));
     assert!(fleet.engine(key).is_open(at(75_000)));
 }
 
@@ -184,14 +187,14 @@
                     index
                 }
                 Message::Report(index) => {
-                    if let Some(key) = fleet.incarnation(address(), Some(Born(start_times[index]))) {
-                        fleet.engine_mut(key).note_report(report(Some(start_times[index]), version(index)), now);
+                    if let Some(key) = fleet.resolve_incarnation(address(), Some(Born(start_times[index]))) {
+                        fleet.engine_mut(key).record_report(report(Some(start_times[index]), version(index)), now);
                     }
                     index
                 }
                 Message::ForwardedReport(index) => {
-                    if let Some(key) = fleet.incarnation(address(), Some(Born(start_times[index]))) {
-                        fleet.engine_mut(key).note_passed_on(report(Some(start_times[index]), version(index)), now);
+                    if let Some(key) = fleet.resolve_incarnation(address(), Some(Born(start_times[index]))) {
+                        fleet.engine_mut(key).record_forwarded_report(report(Some(start_times[index]), version(index)), now);
                     }
                     index
                 }
@@ -199,9 +202,9 @@
             newest_index = newest_index.max(index);
             let key = fleet.find(ID).expect("the engine is known");
             let engine = fleet.engine(key);
-            prop_assert_eq!(engine.born(), Some(Born(start_times[newest_index])));
+            prop_assert_eq!(engine.start_time(), Some(Born(start_times[newest_index])));
             prop_assert_eq!(fleet.at_address(address()), Some(key));
-            if let Some(held) = engine.version_of("m", now) {
+            if let Some(held) = engine.loaded_version("m", now) {
                 prop_assert_eq!(held, Version(version(newest_index)));
             }
             if newest_index == 2 {
--- a/crates/gingerpier_serving/tests/outage.rs
+++ b/crates/gingerpier_serving/tests/outage.rs
@@ -132,40 +132,40 @@
 fn a_missing_engine_serves_until_its_grace_period_ends() {
     let mut fleet = Fleet::default();
     let key = fleet.list(record("a", State::Ready), Revision(1));
-    fleet.lapse("a", at(11_000));
+    fleet.mark_missing("a", at(11_000));
     assert!(fleet.engine(key).is_open(at(10_999)));
-    assert_eq!(fleet.expire(at(10_999)), []);
+    assert_eq!(fleet.remove_expired(at(10_999)), []);
     assert!(
         !fleet.engine(key).is_open(at(11_000)),
         "the grace period is over"
     );
-    assert_eq!(fleet.expire(at(11_000)), [key]);
+    assert_eq!(fleet.remove_expired(at(11_000)), [key]);
     assert_eq!(fleet.of_service("s").count(), 0);
-    assert_eq!(fleet.expire(at(12_000)), [], "reported once");
+    assert_eq!(fleet.remove_expired(at(12_000)), [], "reported once");
 
     fleet.list(record("a", State::Ready), Revision(30));
     assert!(
         fleet.engine(key).is_open(at(12_000)),
         "listed again after the grace period"
     );
-    fleet.lapse("a", at(20_000));
+    fleet.mark_missing("a", at(20_000));
     fleet.list(record("a", State::Ready), Revision(40));
     assert!(
         fleet.engine(key).is_open(at(20_000)),
         "listed again within the grace period"
     );
-    assert_eq!(fleet.expire(at(20_000)), []);
+    assert_eq!(fleet.remove_expired(at(20_000)), []);
 }
 
 #[test]
 fn a_removed_engine_is_not_kept_by_an_earlier_grace_period() {
     let mut fleet = Fleet::default();
     let key = fleet.list(record("a", State::Ready), Revision(1));
-    fleet.lapse("a", at(11_000));
+    fleet.mark_missing("a", at(11_000));
     fleet.unlist("a");
     assert!(!fleet.engine(key).is_open(at(10_000)));
     // Repeating the report doesn't restore it.
-    fleet.lapse("a", at(11_000));
+    fleet.mark_missing("a", at(11_000));
     assert!(!fleet.engine(key).is_open(at(10_000)));
 }
 
@@ -173,7 +173,7 @@
 fn a_draining_engine_that_goes_missing_stays_draining() {
     let mut fleet = Fleet::default();
     let key = fleet.list(record("a", State::Draining), Revision(1));
-    fleet.lapse("a", at(11_000));
+    fleet.mark_missing("a", at(11_000));
     assert!(!fleet.engine(key).is_open(at(10_000)));
     fleet.list(record("a", State::Ready), Revision(30));
     assert!(!fleet.engine(key).is_open(at(10_000)));
@@ -183,7 +183,7 @@
 fn a_missing_engine_whose_address_was_reused_gets_no_requests() {
     let mut fleet = Fleet::default();
     let old = fleet.list(record("a", State::Ready), Revision(1));
-    fleet.lapse("a", at(11_000));
+    fleet.mark_missing("a", at(11_000));
     let new = fleet.list(record("b", State::Ready), Revision(22));
     assert!(!fleet.engine(old).is_open(at(10_000)));
     assert!(fleet.engine(new).is_open(at(10_000)));
@@ -191,7 +191,7 @@
         fleet.at_address(fleet.engine(new).record.address),
         Some(new)
     );
-    fleet.expire(at(11_000));
+    fleet.remove_expired(at(11_000));
     assert!(fleet.engine(new).is_open(at(11_000)));
 }
 
--- a/crates/gingerpier_serving/tests/places.rs
+++ b/crates/gingerpier_serving/tests/places.rs
@@ -9,13 +9,13 @@
     gingerpier_serving::{
         admission::{self, Choice, Criteria},
         configuration::{
-            Configuration, Limits, Repeat, Route, RouteKey, Service, ServiceKey, ServiceKind,
-            Target, Tenant,
+            Account, Configuration, Limits, Repeat, Route, RouteKey, Service, ServiceKey,
+            ServiceKind, Target,
         },
         fairness::Adjustment,
         fleet::{EngineKey, Fleet, Record, State},
         mirror::Revision,
-        region::{Homes, MAX_REGIONS, Regions},
+        region::{MAX_REGIONS, RegionSet, Regions},
         report::Report,
         shedding,
         warmup::{ColdLimits, Warmup},
@@ -62,7 +62,7 @@
 }
 
 fn criteria(
-    allowed_regions: Homes,
+    allowed_regions: RegionSet,
     cold_limits: ColdLimits,
     gateway_count: u32,
 ) -> Criteria<'static> {
@@ -99,7 +99,7 @@
         repeat: Repeat::Safe,
         timeout_millis: 1_000,
         target_millis: 500,
-        pause_millis: 200,
+        max_pause_millis: 200,
         priority: 1,
         targets: vec![Target {
             service: ServiceKey(0),
@@ -109,7 +109,7 @@
         is_public: false,
         regions: names(homes),
     };
-    let tenant = |name: &str, homes: &[&str]| Tenant {
+    let account = |name: &str, homes: &[&str]| Account {
         name: name.to_owned(),
         priority: None,
         keys: vec![name.to_owned()],
@@ -126,26 +126,29 @@
         route("ab", &["ra", "rb"]),
         route("lost", &["mars"]),
     ];
-    let tenants = vec![
-        tenant("any", &[]),
-        tenant("bc", &["rb", "rc"]),
-        tenant("c", &["rc"]),
+    let accounts = vec![
+        account("any", &[]),
+        account("bc", &["rb", "rc"]),
+        account("c", &["rc"]),
     ];
     let mut configuration =
-        Configuration::new(1, Limits::default(), routes, vec![service], tenants);
+        Configuration::new(1, Limits::default(), routes, vec![service], accounts);
     let regions = regions();
     let allowed = |configuration: &Configuration, route: u32, key: &str| -> Vec<&str> {
-        let homes = configuration.homes(RouteKey(route), configuration.tenant_of(key));
-        let is_allowed = |zone: &&str| homes.admit(regions.of_zone(zone));
+        let homes = configuration.allowed_regions(RouteKey(route), configuration.account_of(key));
+        let is_allowed = |zone: &&str| homes.contains(regions.of_zone(zone));
         ZONES.into_iter().filter(is_allowed).collect()
     };
     assert!(
         allowed(&configuration, 1, "any").is_empty(),
         "before regions are resolved"
     );
-    configuration.locate(&regions);
+    configuration.resolve_regions(&regions);
     assert_eq!(allowed(&configuration, 0, "any"), ZONES);
-    assert_eq!(configuration.homes(RouteKey(0), None), Homes::ANYWHERE);
+    assert_eq!(
+        configuration.allowed_regions(RouteKey(0), None),
+        RegionSet::ALL
+    );
     assert_eq!(allowed(&configuration, 1, "any"), ["a", "b"]);
     assert_eq!(allowed(&configuration, 0, "bc"), ["b", "c"]);
     assert_eq!(allowed(&configuration, 1, "bc"), ["b"]);
@@ -163,18 +166,18 @@
         .collect();
     let regions = Regions::new(names.iter().map(|name| (name.as_str(), name.as_str())));
     for (number, name) in names.iter().enumerate() {
-        let homes = regions.homes(std::slice::from_ref(name));
+        let homes = regions.resolve(std::slice::from_ref(name));
         let admitted = names
             .iter()
-            .filter(|zone| homes.admit(regions.of_zone(zone)));
+            .filter(|zone| homes.contains(regions.of_zone(zone)));
         assert_eq!(
             admitted.count(),
             usize::from(number < MAX_REGIONS),
             "{name}"
         );
-        assert!(!homes.admit(None));
+        assert!(!homes.contains(None));
     }
-    assert_ne!(regions.homes(&names), Homes::ANYWHERE);
+    assert_ne!(regions.resolve(&names), RegionSet::ALL);
 }
 
 #[test]
@@ -319,7 +322,7 @@
                 exchange.record_member(ZONES[other % 3], address(other), at(0));
             }
             Gateway {
-                fleet: Fleet::of(regions()),
+                fleet: Fleet::with_regions(regions()),
                 exchange,
                 in_transit: Vec::new(),
                 latest_revisions: HashMap::new(),
@@ -492,7 +495,11 @@
             if !now.is_multiple_of(250) {
                 continue;
             }
-            let keys: Vec<EngineKey> = gateway.fleet.present("s").map(|(key, _)| key).collect();
+            let keys: Vec<EngineKey> = gateway
+                .fleet
+                .current_of_service("s")
+                .map(|(key, _)| key)
+                .collect();
             for key in keys {
                 let subject = order::hash(&gateway.fleet.engine(key).record.address);
                 let is_owned = policy == Policy::AllOwners
@@ -509,8 +516,8 @@
         let gateway = self.rng.usize(..self.gateways.len());
         let region_index = self.rng.usize(..8);
         let homes = match REGION_NAMES.get(region_index) {
-            Some(name) => regions().homes(&names(&[name])),
-            None => Homes::ANYWHERE,
+            Some(name) => regions().resolve(&names(&[name])),
+            None => RegionSet::ALL,
         };
         let cold = match self.policy {
             Policy::Unlimited => ColdLimits::NEVER_COLD,
@@ -524,8 +531,8 @@
             self.outcome.refused += 1;
             return;
         };
-        fleet.engine_mut(engine).note_sent(0, instant);
-        fleet.engine_mut(engine).note_end(0, true);
+        fleet.engine_mut(engine).record_sent(0, instant);
+        fleet.engine_mut(engine).record_end(0, true);
         let ip = match fleet.engine(engine).record.address.ip() {
             std::net::IpAddr::V4(ip) => ip.octets(),
             std::net::IpAddr::V6(_) => panic!("engines have IPv4 addresses"),
