--- a/crates/gingerpier_gateway/src/proxy/trial.rs
+++ b/crates/gingerpier_gateway/src/proxy/trial.rs
@@ -101,7 +101,7 @@
             match status {
                 Status::Clear => return Access::Unrestricted,
                 Status::Held => return Access::Held,
-                Status::ReportOutcome | Status::Suspect => {}
+                Status::SingleCrash | Status::Suspect => {}
             }
             let now = clock::now();
             let is_on_trial = state
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -91,7 +91,7 @@
             .borrow_mut()
             .record_crash(crash, engine_count);
         // A refuted crash is not announced: most requests that many callers send are refuted soon.
-        if change == ReportOutcome::News {
+        if change == ReportOutcome::New {
             self.suspect_state.outbox.borrow_mut().crashes.push(crash);
             self.suspect_state.has_updates.notify_one();
         }
@@ -220,7 +220,7 @@
             let outbox = state.suspect_state.outbox.borrow();
             outbox.repeats.front().map(|(at, _)| *at)
         };
-        let evaluate_at = state.suspect_state.suspects.borrow().evaluates_at();
+        let evaluate_at = state.suspect_state.suspects.borrow().evaluation_due_at();
         match repeat_at.into_iter().chain(evaluate_at).min() {
             Some(at) => drop(clock::before(at, state.suspect_state.has_updates.notified()).await),
             None => state.suspect_state.has_updates.notified().await,
@@ -412,7 +412,7 @@
             .record_crash(crash, engine_count);
         match change {
             ReportOutcome::Known => {}
-            ReportOutcome::News => new_updates.crashes.push(*report),
+            ReportOutcome::New => new_updates.crashes.push(*report),
             ReportOutcome::Refuted(version) => {
                 refutations.push(completion_update((crash.fingerprint, version)))
             }
--- a/crates/gingerpier_gateway/src/zones.rs
+++ b/crates/gingerpier_gateway/src/zones.rs
@@ -67,7 +67,7 @@
         gateway_count: digest.gateway_count,
     };
     let was_reachable = state.zones.borrow().has_recent_digest(&digest.zone, now);
-    if state.zones.borrow_mut().accept(&header, now) == Acceptance::Old {
+    if state.zones.borrow_mut().accept(&header, now) == Acceptance::Outdated {
         return;
     }
     if !was_reachable {
--- a/crates/gingerpier_serving/src/liveness.rs
+++ b/crates/gingerpier_serving/src/liveness.rs
@@ -12,11 +12,11 @@
 //! use gingerpier_serving::liveness::Liveness;
 //!
 //! let address = |number: u8| std::net::SocketAddr::from(([10, 0, 0, number], 7700));
-//! let mut one = Liveness::new(address(1), 1, Instant::from_millis(0));
-//! one.record_mention(address(2), Instant::from_millis(10));
-//! // Nobody has said that it is gone.
-//! assert_eq!(one.alive().collect::<Vec<_>>(), [address(2)]);
-//! assert_eq!(one.poll(Instant::from_millis(1_000)), [address(2)]);
+//! let mut liveness = Liveness::new(address(1), 1, Instant::from_millis(0));
+//! liveness.record_mention(address(2), Instant::from_millis(10));
+//! // No peer reported it dead.
+//! assert_eq!(liveness.alive().collect::<Vec<_>>(), [address(2)]);
+//! assert_eq!(liveness.poll(Instant::from_millis(1_000)), [address(2)]);
 //! ```
 
 use {
@@ -152,7 +152,7 @@
         let alive = self
             .members
             .iter()
-            .filter(|(_, one)| one.dead_since.is_none());
+            .filter(|(_, state)| state.dead_since.is_none());
         alive.map(|(member, _)| *member)
     }
 
@@ -202,25 +202,25 @@
 
     /// Applies updates from another gateway.
     pub fn apply_updates(&mut self, updates: &[Update], now: Instant) {
-        for one in updates {
-            if one.member == self.own {
-                if one.is_dead && one.incarnation >= self.incarnation {
-                    self.incarnation = one.incarnation + 1;
+        for update in updates {
+            if update.member == self.own {
+                if update.is_dead && update.incarnation >= self.incarnation {
+                    self.incarnation = update.incarnation + 1;
                 }
                 continue;
             }
-            match (self.members.get(&one.member).copied(), one.is_dead) {
-                (None, false) => self.add(one.member, one.incarnation, now),
+            match (self.members.get(&update.member).copied(), update.is_dead) {
+                (None, false) => self.add(update.member, update.incarnation, now),
                 (None, true) => {}
-                (Some(known), false) if one.incarnation > known.incarnation => {
-                    self.revive(one.member, one.incarnation, now);
+                (Some(known), false) if update.incarnation > known.incarnation => {
+                    self.revive(update.member, update.incarnation, now);
                 }
                 (Some(known), true)
-                    if known.dead_since.is_none() && one.incarnation >= known.incarnation =>
+                    if known.dead_since.is_none() && update.incarnation >= known.incarnation =>
                 {
                     match now.millis_since(known.last_contact) < RECENT_CONTACT_MILLIS {
-                        true => self.mark_reported_dead(one.member),
-                        false => self.mark_dead(one.member, one.incarnation, now),
+                        true => self.mark_reported_dead(update.member),
+                        false => self.mark_dead(update.member, update.incarnation, now),
                     }
                 }
                 (Some(_), _) => {}
@@ -237,12 +237,12 @@
 
     /// Declares members dead that a peer reported dead and that had no contact since.
     fn expire_reported_dead(&mut self, now: Instant) {
-        let is_expired = |one: &Member| {
-            one.is_reported_dead && now.millis_since(one.last_contact) >= RECENT_CONTACT_MILLIS
+        let is_expired = |state: &Member| {
+            state.is_reported_dead && now.millis_since(state.last_contact) >= RECENT_CONTACT_MILLIS
         };
-        let expired = self.members.iter().filter(|(_, one)| is_expired(one));
+        let expired = self.members.iter().filter(|(_, state)| is_expired(state));
         let expired: Vec<(SocketAddr, u64)> = expired
-            .map(|(member, one)| (*member, one.incarnation))
+            .map(|(member, state)| (*member, state.incarnation))
             .collect();
         for (member, incarnation) in expired {
             self.mark_dead(member, incarnation, now);
@@ -359,7 +359,10 @@
             to_retry.push(probe.member);
         }
         for member in dead {
-            let incarnation = self.members.get(&member).map_or(0, |one| one.incarnation);
+            let incarnation = self
+                .members
+                .get(&member)
+                .map_or(0, |state| state.incarnation);
             self.mark_dead(member, incarnation, now);
         }
         to_retry
@@ -381,12 +384,12 @@
     }
 
     fn drop_expired(&mut self, now: Instant) {
-        let is_kept = |one: &Member| {
+        let is_kept = |state: &Member| {
             let is_expired =
                 |dead_since: Instant| now.millis_since(dead_since) >= DEAD_RETENTION_MILLIS;
-            !one.dead_since.is_some_and(is_expired)
+            !state.dead_since.is_some_and(is_expired)
         };
-        self.members.retain(|_, one| is_kept(one));
+        self.members.retain(|_, state| is_kept(state));
     }
 
     /// Returns the updates for a message to `receiver`: its own death if it counts as dead, then
--- a/crates/gingerpier_serving/src/outage.rs
+++ b/crates/gingerpier_serving/src/outage.rs
@@ -24,10 +24,10 @@
 //! outage.record_failure(at(1_400));
 //! outage.record_failure(at(8_700));
 //! outage.record_response(Revision(20), at(9_000));
-//! let lapsed = Absence::Event(Revision(15));
-//! assert_eq!(outage.excused_until(lapsed, at(9_100)), Some(at(11_000)));
-//! let left = Absence::Event(Revision(21));
-//! assert_eq!(outage.excused_until(left, at(9_100)), None);
+//! let expired = Absence::Event(Revision(15));
+//! assert_eq!(outage.excused_until(expired, at(9_100)), Some(at(11_000)));
+//! let removed = Absence::Event(Revision(21));
+//! assert_eq!(outage.excused_until(removed, at(9_100)), None);
 //! ```
 
 use {crate::mirror::Revision, gingerpier_base::Instant};
--- a/crates/gingerpier_serving/src/suspects.rs
+++ b/crates/gingerpier_serving/src/suspects.rs
@@ -115,7 +115,7 @@
     /// Already known, or dropped.
     Known,
     /// Recorded as new.
-    News,
+    New,
     /// Refuted by a complete response from weights of this version; the reporter should be told.
     Refuted(Version),
 }
@@ -126,7 +126,7 @@
     /// No unrefuted crashes.
     Clear,
     /// One unrefuted crash: sent as a trial, preferably to an engine without another trial.
-    ReportOutcome,
+    SingleCrash,
     /// Several unrefuted crashes, but fewer than hold it back: sent as a trial, only to an engine
     /// without another trial.
     Suspect,
@@ -270,11 +270,11 @@
             self.next_evaluation
                 .map_or(settles_at, |known| known.min(settles_at)),
         );
-        ReportOutcome::News
+        ReportOutcome::New
     }
 
     /// Returns when [`Self::evaluate`] is due; none if nothing is pending.
-    pub const fn evaluates_at(&self) -> Option<Instant> {
+    pub const fn evaluation_due_at(&self) -> Option<Instant> {
         self.next_evaluation
     }
 
@@ -460,7 +460,7 @@
             .filter(|crash| !self.is_common_failure(crash));
         match separate.take(SUSPECT_MIN_CRASHES).count() {
             0 => Status::Clear,
-            crashes if crashes < SUSPECT_MIN_CRASHES => Status::ReportOutcome,
+            crashes if crashes < SUSPECT_MIN_CRASHES => Status::SingleCrash,
             _ => Status::Suspect,
         }
     }
--- a/crates/gingerpier_serving/src/trials.rs
+++ b/crates/gingerpier_serving/src/trials.rs
@@ -61,35 +61,35 @@
     fn in_progress(&self, now: Instant) -> impl Iterator<Item = &AnnouncedTrial> {
         self.announced
             .values()
-            .filter(move |one| !one.has_timed_out(now))
+            .filter(move |other| !other.has_timed_out(now))
     }
 
     /// Returns true if a trial of the request is in progress.
     pub fn is_on_trial(&self, fingerprint: Fingerprint, now: Instant) -> bool {
         self.in_progress(now)
-            .any(|one| one.trial.fingerprint == fingerprint)
+            .any(|other| other.trial.fingerprint == fingerprint)
     }
 
     /// Returns the engines that are reserved for trials.
     pub fn engines(&self, now: Instant) -> impl Iterator<Item = Incarnation> {
-        self.in_progress(now).filter_map(|one| one.trial.engine)
+        self.in_progress(now).filter_map(|other| other.trial.engine)
     }
 
     /// Returns true if `trial`, which was announced, takes precedence over all conflicting ones.
     pub fn may_continue(&self, trial: &Trial, now: Instant) -> bool {
-        let conflicts = |one: &&AnnouncedTrial| {
-            let shares_engine = trial.engine.is_some() && one.trial.engine == trial.engine;
-            one.trial.fingerprint == trial.fingerprint || shares_engine
+        let conflicts_with = |other: &&AnnouncedTrial| {
+            let shares_engine = trial.engine.is_some() && other.trial.engine == trial.engine;
+            other.trial.fingerprint == trial.fingerprint || shares_engine
         };
-        let conflicting = self.in_progress(now).filter(conflicts);
-        let mut conflicting = conflicting.filter(|one| one.trial != *trial);
-        !conflicting.any(|one| one.has_settled(now) || one.trial < *trial)
+        let conflicting = self.in_progress(now).filter(conflicts_with);
+        let mut conflicting = conflicting.filter(|other| other.trial != *trial);
+        !conflicting.any(|other| other.has_settled(now) || other.trial < *trial)
     }
 
     /// Records the start of a trial.
     pub fn record_start(&mut self, trial: Trial, now: Instant) {
         if self.announced.len() >= MAX_TRIALS {
-            self.announced.retain(|_, one| !one.has_timed_out(now));
+            self.announced.retain(|_, other| !other.has_timed_out(now));
         }
         if self.announced.len() < MAX_TRIALS {
             let announced = AnnouncedTrial {
--- a/crates/gingerpier_serving/src/watching.rs
+++ b/crates/gingerpier_serving/src/watching.rs
@@ -21,7 +21,7 @@
 //! let own = "10.0.0.1:8000".parse().expect("an address");
 //! let now = Instant::from_millis(1_000);
 //! let mut watching = WatcherSelection::new(own, now);
-//! // Nobody else is known yet, but may be soon.
+//! // Waits for neighbours to be discovered.
 //! assert!(matches!(watching.next_step(&[], false, now), Step::Wait(_)));
 //! assert_eq!(watching.next_step(&[], false, now.after_millis(2_000)), Step::Store);
 //! ```
@@ -163,7 +163,7 @@
     /// Returns the next read; `members` are the known members of the zone, and `has_copy` tells
     /// whether this one has a copy of the store.
     pub fn next_step(&mut self, members: &[SocketAddr], has_copy: bool, now: Instant) -> Step {
-        self.skipped.retain(|one| !one.until.has_passed(now));
+        self.skipped.retain(|skip| !skip.until.has_passed(now));
         self.update_known_members(members, now);
         if !has_copy && !self.is_settled(now) {
             return self.request_first_copy(now);
@@ -178,7 +178,10 @@
         }
         let (designated, replacements) = ranked.split_at(count.min(ranked.len()));
         let usable_of = |pool: &[SocketAddr]| -> Vec<SocketAddr> {
-            let usable = pool.iter().copied().filter(|one| self.is_usable(*one));
+            let usable = pool
+                .iter()
+                .copied()
+                .filter(|member| self.is_usable(*member));
             usable.take(count).collect()
         };
         let mut sources = usable_of(designated);
@@ -221,14 +224,14 @@
     pub fn record_probe(&mut self, is_ahead: bool, millis: u64, now: Instant) {
         // A slow path to the store makes copies stale, but members unresponsive no more likely;
         // retrying those would only waste their timeouts.
-        let is_stale = |one: &SkippedMember| one.failure == Failure::Old;
+        let is_stale = |skip: &SkippedMember| skip.failure == Failure::Old;
         let may_be_lenient =
             self.next_leniency_at.has_passed(now) && self.skipped.iter().any(is_stale);
         if millis > MAX_NORMAL_PROBE_MILLIS && may_be_lenient {
             let leniency_millis = (millis * LENIENCY_PROBE_FACTOR).min(MAX_LENIENCY_MILLIS);
             self.any_age_until = now.after_millis(leniency_millis);
             self.next_leniency_at = now.after_millis(LENIENCY_INTERVAL_MILLIS);
-            self.skipped.retain(|one| !is_stale(one));
+            self.skipped.retain(|skip| !is_stale(skip));
             return;
         }
         self.may_replace_watcher = is_ahead;
@@ -253,7 +256,7 @@
     }
 
     fn is_usable(&self, member: SocketAddr) -> bool {
-        !self.skipped.iter().any(|one| one.member == member)
+        !self.skipped.iter().any(|skip| skip.member == member)
     }
 
     fn update_known_members(&mut self, members: &[SocketAddr], now: Instant) {
@@ -270,7 +273,7 @@
         self.known_members = members
             .iter()
             .copied()
-            .filter(|one| *one != self.own)
+            .filter(|member| *member != self.own)
             .collect();
     }
 
@@ -286,8 +289,8 @@
 
     fn request_first_copy(&self, now: Instant) -> Step {
         let members = self.known_members.iter().copied();
-        let untried = members.filter(|one| !self.members_without_copy.contains(one));
-        let next = untried.min_by_key(|one| rank_key(*one));
+        let untried = members.filter(|member| !self.members_without_copy.contains(member));
+        let next = untried.min_by_key(|member| rank_key(*member));
         next.map_or(
             Step::Wait(now.after_millis(NEIGHBOUR_CHECK_MILLIS)),
             Step::FirstCopy,
--- a/crates/gingerpier_serving/src/zones.rs
+++ b/crates/gingerpier_serving/src/zones.rs
@@ -92,9 +92,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acceptance {
     /// Newer than all known parts.
-    News,
+    Newer,
     /// Repeated, out of order, or of the own zone.
-    Old,
+    Outdated,
 }
 
 /// The newest digest of a stream.
@@ -328,10 +328,10 @@
     /// Checks the header of a received part and records it.
     pub fn accept(&mut self, header: &Header<'_>, now: Instant) -> Acceptance {
         if header.zone == self.own_zone {
-            return Acceptance::Old;
+            return Acceptance::Outdated;
         }
         let Some(zone) = self.zone_mut(header.zone) else {
-            return Acceptance::Old;
+            return Acceptance::Outdated;
         };
         let stream = DigestStream {
             sender: header.sender,
@@ -341,14 +341,14 @@
             header.stamp <= newest.stamp && now.millis_since(newest.at) < SENDER_RESTART_MILLIS
         });
         if is_stale {
-            return Acceptance::Old;
+            return Acceptance::Outdated;
         }
         let stamp = header.stamp;
         zone.newest_digests
             .insert(stream, NewestDigest { stamp, at: now });
         zone.last_digest_at = Some(now);
         zone.reported_count = header.gateway_count;
-        Acceptance::News
+        Acceptance::Newer
     }
 
     /// Returns true if there are few enough gateways for each to poll the loaders of all zones.
--- a/crates/gingerpier_serving/tests/suspects/main.rs
+++ b/crates/gingerpier_serving/tests/suspects/main.rs
@@ -151,20 +151,20 @@
     let mut suspects = Suspects::default();
     assert_eq!(
         suspects.record_crash(crash_at(fingerprint(1), 1, 0), 12),
-        ReportOutcome::News
+        ReportOutcome::New
     );
     assert_eq!(
         suspects.record_crash(crash_at(fingerprint(1), 1, 10), 12),
         ReportOutcome::Known,
         "reported twice"
     );
-    assert_eq!(suspects.status(fingerprint(1)), Status::ReportOutcome);
+    assert_eq!(suspects.status(fingerprint(1)), Status::SingleCrash);
     suspects.record_crash(crash_at(fingerprint(1), 2, 300), 12);
     suspects.record_crash(crash_at(fingerprint(1), 3, 600), 12);
     assert!(evaluate(&mut suspects).is_empty());
     assert_eq!(
         suspects.record_crash(crash_at(fingerprint(1), 4, 900), 12),
-        ReportOutcome::News
+        ReportOutcome::New
     );
     assert_eq!(
         suspects.status(fingerprint(1)),
@@ -186,7 +186,10 @@
             suspects.record_crash(crash_at(fingerprint(1), millis, millis), 5_000);
         }
         let now = Instant::from_millis(millis);
-        if suspects.evaluates_at().is_some_and(|at| at.has_passed(now)) {
+        if suspects
+            .evaluation_due_at()
+            .is_some_and(|at| at.has_passed(now))
+        {
             held.extend(suspects.evaluate(now));
         }
     }
@@ -298,7 +301,7 @@
     assert_eq!(suspects.status(fingerprint(1)), Status::Held);
     assert_eq!(
         suspects.status(fingerprint(2)),
-        Status::ReportOutcome,
+        Status::SingleCrash,
         "a case of another account"
     );
     assert!(suspects.count() <= 1_024);
--- a/crates/gingerpier_serving/tests/suspects/model.rs
+++ b/crates/gingerpier_serving/tests/suspects/model.rs
@@ -345,7 +345,7 @@
         match self.status(gateway, request.fingerprint) {
             Status::Held => self.held_innocents += usize::from(!request.crashes_engines),
             Status::Clear => self.send(request, gateway),
-            Status::ReportOutcome | Status::Suspect => self.announce_trial(request, gateway),
+            Status::SingleCrash | Status::Suspect => self.announce_trial(request, gateway),
         }
     }
 
@@ -427,8 +427,8 @@
             .may_continue(&trial, self.at());
         let status = self.status(gateway, request.fingerprint);
         let is_suspect = match reserves_engine {
-            true => matches!(status, Status::ReportOutcome | Status::Suspect),
-            false => status == Status::ReportOutcome,
+            true => matches!(status, Status::SingleCrash | Status::Suspect),
+            false => status == Status::SingleCrash,
         };
         let has_room = self.engines_with_room().any(|one| one == engine);
         if may_continue && is_suspect && has_room {
@@ -626,8 +626,8 @@
         match message {
             Message::Crash(crash) => {
                 let noted = state.suspects.record_crash(*crash, ENGINES);
-                let is_news = noted == ReportOutcome::News;
-                if from == gateway && is_news {
+                let is_new = noted == ReportOutcome::New;
+                if from == gateway && is_new {
                     for millis in REPEAT_DELAYS_MILLIS {
                         self.broadcast_after(gateway, &Message::Crash(*crash), millis);
                     }
@@ -635,7 +635,7 @@
                 if from != gateway && matches!(noted, ReportOutcome::Refuted(_)) {
                     self.send_message(gateway, from, Message::Reply(crash.fingerprint), 0);
                 }
-                if is_news {
+                if is_new {
                     self.schedule(CRASH_SETTLE_MILLIS + 1, Event::Evaluate(gateway));
                 }
             }
--- a/crates/gingerpier_serving/tests/zones.rs
+++ b/crates/gingerpier_serving/tests/zones.rs
@@ -261,7 +261,7 @@
                 part: 0,
                 gateway_count: packet.count,
             };
-            if receiver.exchange.accept(&header, now) == Acceptance::Old {
+            if receiver.exchange.accept(&header, now) == Acceptance::Outdated {
                 continue;
             }
             receiver.exchange.record_member(&zone, packet.sender, now);
@@ -443,10 +443,13 @@
         part: 0,
         gateway_count: 3,
     };
-    assert_eq!(exchange.accept(&header(90_000), at(0)), Acceptance::News);
-    assert_eq!(exchange.accept(&header(89_000), at(100)), Acceptance::Old);
-    assert_eq!(exchange.accept(&header(300), at(2_300)), Acceptance::News);
-    assert_eq!(exchange.accept(&header(800), at(2_800)), Acceptance::News);
+    assert_eq!(exchange.accept(&header(90_000), at(0)), Acceptance::Newer);
+    assert_eq!(
+        exchange.accept(&header(89_000), at(100)),
+        Acceptance::Outdated
+    );
+    assert_eq!(exchange.accept(&header(300), at(2_300)), Acceptance::Newer);
+    assert_eq!(exchange.accept(&header(800), at(2_800)), Acceptance::Newer);
 }
 
 #[test]
@@ -543,7 +546,7 @@
         for (index, stamp) in stamps.into_iter().enumerate() {
             let header = Header { zone: "zone-1", sender: address(1, 0), stamp, part: 0, gateway_count: 1 };
             let acceptance = exchange.accept(&header, at(index as u64));
-            prop_assert_eq!(acceptance == Acceptance::News, Some(stamp) > newest);
+            prop_assert_eq!(acceptance == Acceptance::Newer, Some(stamp) > newest);
             newest = newest.max(Some(stamp));
         }
     }
