--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -20,11 +20,11 @@
     },
 };
 
-/// Milliseconds for which a stopping gateway still accepts requests: covers two health checks of
-/// the load balancer, and leaves accepted requests time to finish.
+/// Time for which a stopping gateway still accepts requests: covers two health checks of the load
+/// balancer, and leaves accepted requests time to finish.
 const ACCEPT_WHILE_STOPPING_MILLIS: u64 = 2_800;
 
-/// Milliseconds after that for which requests are refused instead of finding a closed port.
+/// Time after that for which requests are refused instead of finding a closed port.
 const REFUSE_WHILE_STOPPING_MILLIS: u64 = 1_200;
 
 /// Margin between the last active request and the end of the time for a shutdown.
--- a/crates/gingerpier_gateway/src/proxy/attempt.rs
+++ b/crates/gingerpier_gateway/src/proxy/attempt.rs
@@ -187,8 +187,8 @@
 /// Timeout of a connection probe, which covers several round trips between regions.
 const PROBE_TIMEOUT_MILLIS: u64 = 100;
 
-/// Milliseconds for which a probe connection must stay open: a crashing engine resets its
-/// connections before its port closes.
+/// Time for which a probe connection must stay open: a crashing engine resets its connections
+/// before its port closes.
 const PROBE_OPEN_MILLIS: u64 = 30;
 
 /// Probes with a new connection whether an engine still listens at `address`.
--- a/crates/gingerpier_gateway/src/proxy/completion.rs
+++ b/crates/gingerpier_gateway/src/proxy/completion.rs
@@ -28,7 +28,7 @@
 /// Retry delay for a request that is held until an operator dismisses its crashes.
 const RETRY_AFTER_HELD_SECONDS: f64 = 3_600.0;
 
-/// Milliseconds without requests for an engine that refused one.
+/// Backoff for an engine that refused a request.
 const FULL_BACKOFF_MILLIS: u64 = 60;
 
 impl Forwarder<'_, '_> {
--- a/crates/gingerpier_gateway/src/proxy/engine_choice.rs
+++ b/crates/gingerpier_gateway/src/proxy/engine_choice.rs
@@ -13,12 +13,12 @@
     },
 };
 
-/// Milliseconds for which streams stay on an engine that stopped accepting requests, so that short
-/// ones end there.
+/// Milliseconds for which streams stay on an engine that stopped accepting requests; short ones end
+/// by then.
 const MIGRATE_AFTER_MILLIS: u64 = 450;
 
-/// Milliseconds before a newer version becomes mandatory at which migration of streams of an older
-/// one stops, so that no migrated stream starts too late.
+/// Time before the cutover to a newer version from which streams no longer migrate, as one that is
+/// delayed would start after it.
 const MIGRATION_LEAD_MILLIS: u64 = 2_000;
 
 impl Forwarder<'_, '_> {
--- a/crates/gingerpier_gateway/src/proxy/startup.rs
+++ b/crates/gingerpier_gateway/src/proxy/startup.rs
@@ -10,11 +10,11 @@
     gingerpier_http1::connection::Connection,
 };
 
-/// Milliseconds after process start for which requests may wait: covers loading the configuration
-/// and the engines' state after a full outage.
+/// Time after process start within which requests may wait; covers loading the configuration and
+/// the engines' state after a full outage.
 const STARTUP_WINDOW_MILLIS: u64 = 2_000;
 
-/// Milliseconds until a waiting request is tried again.
+/// Interval at which a waiting request is tried again.
 const POLL_INTERVAL_MILLIS: u64 = 25;
 
 /// Result of a wait for startup.
--- a/crates/gingerpier_gateway/src/proxy/stream.rs
+++ b/crates/gingerpier_gateway/src/proxy/stream.rs
@@ -17,7 +17,7 @@
     gingerpier_serving::{course::Failure, events::Splitter, report::Version},
 };
 
-/// Milliseconds without an event after which a stream may resume on another engine.
+/// Timeout for the next event, after which a stream may resume on another engine.
 const EVENT_GAP_TIMEOUT_MILLIS: u64 = 1_200;
 
 /// Shortest timeout for the first event.
@@ -26,7 +26,7 @@
 /// Timeout for the first event, in latency targets of the route.
 const FIRST_EVENT_TIMEOUT_TARGETS: u64 = 3;
 
-/// Milliseconds until a stalled request looks again for another engine, if there was none.
+/// Interval at which a stalled request looks again for another engine.
 const RECHECK_INTERVAL_MILLIS: u64 = 300;
 
 /// Instant at which an attempt without a new event counts as stalled.
--- a/crates/gingerpier_gateway/src/proxy/trial.rs
+++ b/crates/gingerpier_gateway/src/proxy/trial.rs
@@ -1,7 +1,7 @@
 //! Isolation of requests that are suspected of crashing engines.
 //!
-//! A suspected request runs as a trial: at one engine of the deployment at a time, and alone among
-//! suspects on that engine, so that a further crash identifies it.
+//! A suspected request runs as a trial: on one engine at a time, without another suspected request
+//! beside it, so that a further crash identifies the request.
 
 use {
     super::{
@@ -19,10 +19,10 @@
     std::{collections::HashSet, rc::Rc},
 };
 
-/// A request waits for another trial of the same request for its latency target divided by this.
+/// Divisor of the latency target for the time that a request waits for another trial of it to end.
 const WAIT_DIVISOR: u64 = 8;
 
-/// Milliseconds between checks whether another trial is over.
+/// Interval between checks whether the other trial is over.
 const POLL_INTERVAL_MILLIS: u64 = 20;
 
 /// Delays of the further checks whether an engine crashed after it broke a connection: some engines
--- a/crates/gingerpier_gateway/src/state/placement.rs
+++ b/crates/gingerpier_gateway/src/state/placement.rs
@@ -13,8 +13,8 @@
     },
 };
 
-/// Milliseconds without a stall after which this gateway knows enough of the others to own cold
-/// engines: twice the time in which a new gateway becomes known.
+/// Time without a stall after which this gateway knows enough of the others to own cold engines:
+/// twice the time in which a new gateway becomes known.
 const MIN_UPTIME_MILLIS: u64 = 1_500;
 
 impl State {
--- a/crates/gingerpier_gateway/src/suspects.rs
+++ b/crates/gingerpier_gateway/src/suspects.rs
@@ -32,8 +32,8 @@
     tokio::{net::UdpSocket, sync::Notify},
 };
 
-/// Milliseconds for which updates are batched: the requests of one engine notice its crash within a
-/// round trip.
+/// Time for which updates are batched: the requests of one engine notice its crash within a round
+/// trip.
 const BATCH_MILLIS: u64 = 2;
 
 /// Delays after which a crash report is repeated.
