--- a/crates/gingerpier_gateway/src/proxy/request.rs
+++ b/crates/gingerpier_gateway/src/proxy/request.rs
@@ -18,7 +18,7 @@
         platform_api::HeaderNames,
         region::Homes,
         report::Version,
-        returns::Visit,
+        return_detection::Visit,
         sizes::Band,
     },
     std::rc::Rc,
