--- a/crates/gingerpier_gateway/src/proxy/engine_choice.rs
+++ b/crates/gingerpier_gateway/src/proxy/engine_choice.rs
@@ -7,18 +7,18 @@
     gingerpier_serving::{
         admission::{self, AvailabilityCounts, Choice, Criteria, Cutover},
         fleet::EngineKey,
-        precedence,
         report::Version,
-        returns::Visit,
+        return_detection::Visit,
+        shedding,
     },
 };
 
-/// Milliseconds for which streams stay on an engine that stopped accepting requests, so that short
-/// ones end there.
+/// Milliseconds for which streams stay on an engine that stopped accepting requests; short ones end
+/// by then.
 const MIGRATE_AFTER_MILLIS: u64 = 450;
 
-/// Milliseconds before a newer version becomes mandatory at which migration of streams of an older
-/// one stops, so that no migrated stream starts too late.
+/// Time before the cutover to a newer version from which streams no longer migrate, as one that is
+/// delayed would start after it.
 const MIGRATION_LEAD_MILLIS: u64 = 2_000;
 
 impl Forwarder<'_, '_> {
@@ -70,7 +70,7 @@
     /// that waited for startup get the lowest share, as many of them resume at once.
     fn target_share(&self, now: Instant) -> f64 {
         if self.has_waited {
-            return precedence::LEFT_SHARE;
+            return shedding::MIN_TARGET_SHARE;
         }
         let visit = match self.retry_state.attempts {
             0 => self.request.visit,
@@ -148,7 +148,7 @@
             }
             Choice::Full(refusal) => {
                 self.predicted_millis = refusal.predicted_millis();
-                self.own_millis = Some(refusal.components.own);
+                self.own_millis = Some(refusal.components.own_prompt_millis);
                 self.refusal = Some(refusal);
                 None
             }
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -21,7 +21,7 @@
     cache::{ChunkCache, ChunkSet},
     gingerpier_base::order,
     gingerpier_serving::{
-        pace::Pace,
+        pacing::Pacer,
         platform_api::{Manifest, ModelVersion, PlatformApi},
         report::Version,
         update_schedule::Bound,
@@ -59,7 +59,7 @@
     /// Version that a peer last requested and that isn't cached here.
     pub requested_version: RefCell<Option<ModelVersion>>,
     /// Send rate limit for chunks; set where the link is narrow.
-    pub pacer: Option<RefCell<Pace>>,
+    pub pacer: Option<RefCell<Pacer>>,
     /// Notified when a chunk or a manifest is cached.
     pub arrived: Notify,
     /// Limits concurrent uploads.
@@ -75,7 +75,7 @@
         engine: SocketAddr,
         link_bits_per_second: u64,
     ) -> Self {
-        let pacer = Pace::new(link_bits_per_second);
+        let pacer = Pacer::new(link_bits_per_second);
         Self {
             engine: Some(engine),
             pacer: Some(RefCell::new(pacer)),
@@ -179,8 +179,8 @@
 /// Time reserved before the deadline of a weight update.
 const UPDATE_MARGIN_MILLIS: u64 = 1_400;
 
-/// Limits of a weight update that has to end `within_millis` after the release.
-pub const fn terms(within_millis: u64) -> Bound {
+/// Time bound of a weight update that has to end `within_millis` after the release.
+pub const fn update_bound(within_millis: u64) -> Bound {
     Bound {
         within_millis,
         margin_millis: UPDATE_MARGIN_MILLIS,
