--- a/crates/gingerpier_serving/src/fleet.rs
+++ b/crates/gingerpier_serving/src/fleet.rs
@@ -222,14 +222,14 @@
     pub fn resolve_incarnation(
         &mut self,
         address: SocketAddr,
-        born: Option<Born>,
+        start_time: Option<Born>,
     ) -> Option<EngineKey> {
         let key = self.at_address(address)?;
-        match StartComparison::compare(born, self.engine(key).start_time) {
+        match StartComparison::compare(start_time, self.engine(key).start_time) {
             StartComparison::Earlier => None,
             StartComparison::Same => {
                 let engine = self.engine_mut(key);
-                engine.start_time = engine.start_time.or(born);
+                engine.start_time = engine.start_time.or(start_time);
                 Some(key)
             }
             StartComparison::Later => {
@@ -238,7 +238,7 @@
                 let record = Record {
                     state: State::Ready,
                     report: Report {
-                        start_time: born,
+                        start_time,
                         ..Report::default()
                     },
                     ..engine.record.clone()
