--- a/crates/gingerpier_gateway/src/discovery.rs
+++ b/crates/gingerpier_gateway/src/discovery.rs
@@ -93,10 +93,10 @@
 /// Reads the engine list until another gateway or a loader of this zone is known.
 pub async fn find_loaders(state: Rc<State>) {
     clock::pause(SEED_TIMEOUT_MILLIS).await;
-    let mut client = store::client(state.settings.store, state.protocol);
+    let mut client = store::client(state.settings.store, state.platform_api);
     while is_isolated(&state) {
         state.metrics.store_calls.inc();
-        match store::read_full(&mut client, state.protocol, Scope::Engines, true).await {
+        match store::read_full(&mut client, state.platform_api, Scope::Engines, true).await {
             Ok(copy) => {
                 let records = copy
                     .items
--- a/crates/gingerpier_gateway/src/gateway.rs
+++ b/crates/gingerpier_gateway/src/gateway.rs
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// Fails if a listener or a signal handler can't be set up.
-pub async fn run(settings: Settings, protocol: &'static dyn PlatformApi) -> Result<(), Error> {
+pub async fn run(settings: Settings, platform_api: &'static dyn PlatformApi) -> Result<(), Error> {
     let log_buffer = log::start();
     let caller_listener = listen(Step::ListenCallers, settings.callers).await?;
     let readiness_listener = listen(Step::ListenReadiness, settings.readiness).await?;
@@ -74,7 +74,7 @@
     let mut terminate = signal_stream(SignalKind::terminate(), settings.callers)?;
     let hangup = signal_stream(SignalKind::hangup(), settings.callers)?;
     tracing::info!(name = settings.name, zone = settings.zone, callers = %settings.callers, "gateway starts");
-    let state = Rc::new(State::new(settings, protocol));
+    let state = Rc::new(State::new(settings, platform_api));
     let socket = Rc::new(socket);
     actix_rt::spawn(clock::watch());
     actix_rt::spawn(discovery::send_hellos(state.clone(), socket.clone()));
@@ -174,7 +174,10 @@
     let mut connection = Connection::new(stream);
     while let Some(request) = store_sharing::read_head(&mut connection).await {
         let target = std::str::from_utf8(request.target()).unwrap_or_default();
-        let status = match (state.protocol.is_readiness_check(target), state.is_ready()) {
+        let status = match (
+            state.platform_api.is_readiness_check(target),
+            state.is_ready(),
+        ) {
             (true, true) => 200,
             (true, false) => 503,
             (false, _) => 404,
--- a/crates/gingerpier_gateway/src/items.rs
+++ b/crates/gingerpier_gateway/src/items.rs
@@ -1,4 +1,4 @@
-//! Parses store items through the platform protocol and logs what they lack.
+//! Parses store items through the platform API and logs what they lack.
 
 use {
     gingerpier_serving::{
@@ -23,15 +23,15 @@
 
 /// Clears the value of an item that no process uses, so that foreign or invalid entries take no
 /// memory.
-pub fn strip_unused_value(protocol: &dyn PlatformApi, item: Item) -> Item {
+pub fn strip_unused_value(platform_api: &dyn PlatformApi, item: Item) -> Item {
     let Some(value) = &item.value else {
         return item;
     };
-    let is_used = match protocol.item_kind(&item.key) {
+    let is_used = match platform_api.item_kind(&item.key) {
         ItemKind::Configuration | ItemKind::Weights(_) | ItemKind::Evacuation(_) => true,
         ItemKind::Engine(_) => {
             let is_short = value.len() <= MAX_ENTRY_BYTES;
-            is_short && protocol.parse_item(&item.key, value).is_ok()
+            is_short && platform_api.parse_item(&item.key, value).is_ok()
         }
         ItemKind::Other => false,
     };
@@ -46,7 +46,7 @@
 
 /// Parses store items and logs each omission once.
 pub struct Parser {
-    protocol: &'static dyn PlatformApi,
+    platform_api: &'static dyn PlatformApi,
     logged_omissions: RefCell<BTreeSet<Omission>>,
     /// Keys and revisions of invalid items that were logged.
     logged_invalid: RefCell<BTreeSet<(String, u64)>>,
@@ -54,10 +54,10 @@
 }
 
 impl Parser {
-    /// Parser that uses the platform protocol `protocol`.
-    pub const fn new(protocol: &'static dyn PlatformApi) -> Self {
+    /// Creates a parser that uses `platform_api`.
+    pub const fn new(platform_api: &'static dyn PlatformApi) -> Self {
         Self {
-            protocol,
+            platform_api,
             logged_omissions: RefCell::new(BTreeSet::new()),
             logged_invalid: RefCell::new(BTreeSet::new()),
             invalid_count: Cell::new(0),
@@ -73,7 +73,7 @@
     pub fn parse(&self, item: &Item) -> Option<Content> {
         let value = item.value.as_ref()?;
         let revision = item.revision.0;
-        match self.protocol.parse_item(&item.key, value) {
+        match self.platform_api.parse_item(&item.key, value) {
             Ok(parsed) => {
                 for omission in parsed.omissions {
                     self.log_omission(&item.key, revision, omission);
@@ -93,7 +93,7 @@
             return;
         }
         self.invalid_count.set(self.invalid_count.get() + 1);
-        let is_engine_entry = matches!(self.protocol.item_kind(key), ItemKind::Engine(_));
+        let is_engine_entry = matches!(self.platform_api.item_kind(key), ItemKind::Engine(_));
         if logged_invalid.len() < MAX_LOGGED_INVALID || !is_engine_entry {
             if logged_invalid.len() < MAX_LOGGED_INVALID {
                 logged_invalid.insert((key.to_owned(), revision));
--- a/crates/gingerpier_gateway/src/lib.rs
+++ b/crates/gingerpier_gateway/src/lib.rs
@@ -8,12 +8,12 @@
 //!
 //! ```no_run
 //! # use gingerpier_serving::platform_api::PlatformApi;
-//! # fn example(protocol: &'static dyn PlatformApi) -> Result<(), Box<dyn std::error::Error>> {
+//! # fn example(platform_api: &'static dyn PlatformApi) -> Result<(), Box<dyn std::error::Error>> {
 //! let text = std::fs::read_to_string("gateway.yaml")?;
 //! let gingerpier_settings::Settings::Gateway(settings) = gingerpier_settings::read(&text)? else {
 //!     panic!("not a gateway's settings")
 //! };
-//! actix_rt::System::new().block_on(gingerpier_gateway::gateway::run(*settings, protocol))?;
+//! actix_rt::System::new().block_on(gingerpier_gateway::gateway::run(*settings, platform_api))?;
 //! # Ok(())
 //! # }
 //! ```
--- a/crates/gingerpier_gateway/src/loader/activation.rs
+++ b/crates/gingerpier_gateway/src/loader/activation.rs
@@ -71,7 +71,9 @@
         let mut is_verified = false;
         for _ in 0..MAX_STAGE_ATTEMPTS {
             if !must_stage {
-                let read_call = loader.protocol.staged_chunk(&model_version.model, chunk);
+                let read_call = loader
+                    .platform_api
+                    .staged_chunk(&model_version.model, chunk);
                 let Ok(response) = client.call(&read_call, ENGINE_TIMEOUT_MILLIS).await else {
                     return false;
                 };
@@ -82,7 +84,7 @@
                     break;
                 }
             }
-            let mut call = loader.protocol.stage_chunk(&model_version.model, chunk);
+            let mut call = loader.platform_api.stage_chunk(&model_version.model, chunk);
             call.body = bytes.to_vec();
             staged_count += 1;
             if client.call(&call, ENGINE_TIMEOUT_MILLIS).await.is_err() {
@@ -127,11 +129,11 @@
         .borrow()
         .as_ref()
         .map_or(0, |report| report.sequence);
-    let call = loader.protocol.start(model_version, sequence);
+    let call = loader.platform_api.start(model_version, sequence);
     let mut client = Client::new(loader.settings.engine);
     let result = client.call(&call, ENGINE_TIMEOUT_MILLIS).await;
     let outcome = match &result {
-        Ok(response) => Some(loader.protocol.parse_start(response.head.status)),
+        Ok(response) => Some(loader.platform_api.parse_start(response.head.status)),
         // The order may have been accepted; the engine's next reports show it.
         Err(_) => None,
     };
--- a/crates/gingerpier_gateway/src/loader/mod.rs
+++ b/crates/gingerpier_gateway/src/loader/mod.rs
@@ -84,8 +84,8 @@
     pub settings: Settings,
     /// Addresses of the seed gateways for loaders.
     seeds: Vec<SocketAddr>,
-    /// Platform protocol.
-    pub protocol: &'static dyn PlatformApi,
+    /// Adapter to the deployment platform.
+    pub platform_api: &'static dyn PlatformApi,
     /// Parser of store items.
     pub item_parser: Parser,
     /// Chunk cache and transfers.
@@ -115,14 +115,14 @@
 
 impl Loader {
     /// Creates a loader without any data.
-    pub fn new(settings: Settings, protocol: &'static dyn PlatformApi) -> Self {
+    pub fn new(settings: Settings, platform_api: &'static dyn PlatformApi) -> Self {
         let link = settings.link_bits_per_second;
-        let distributor = Rc::new(Distributor::for_engine(protocol, settings.engine, link));
+        let distributor = Rc::new(Distributor::for_engine(platform_api, settings.engine, link));
         Self {
             seeds: Self::seeds(&settings),
             settings,
-            protocol,
-            item_parser: Parser::new(protocol),
+            platform_api,
+            item_parser: Parser::new(platform_api),
             distributor,
             engine_lock: Mutex::new(()),
             subscribers: RefCell::default(),
@@ -325,7 +325,7 @@
 /// # Errors
 ///
 /// If a socket can't be bound or a signal handler can't be installed.
-pub async fn run(settings: Settings, protocol: &'static dyn PlatformApi) -> Result<(), Error> {
+pub async fn run(settings: Settings, platform_api: &'static dyn PlatformApi) -> Result<(), Error> {
     let log_buffer = log::start();
     let peer = settings.peers;
     let bind_error = |step| move |cause| Error::Io { step, peer, cause };
@@ -338,7 +338,7 @@
     let hangup = signal(SignalKind::hangup());
     let mut hangup = hangup.map_err(bind_error(Step::Signals))?;
     tracing::info!(name = settings.name, zone = settings.zone, engine = %settings.engine, "loader starts");
-    let loader = Rc::new(Loader::new(settings, protocol));
+    let loader = Rc::new(Loader::new(settings, platform_api));
     actix_rt::spawn(clock::watch());
     actix_rt::spawn(sync::run(loader.clone()));
     actix_rt::spawn(peers::serve(loader.distributor.clone(), listener));
--- a/crates/gingerpier_gateway/src/loader/report.rs
+++ b/crates/gingerpier_gateway/src/loader/report.rs
@@ -113,10 +113,10 @@
 }
 
 async fn poll_engine(loader: &Loader, client: &mut Client) -> Option<Report> {
-    let call = loader.protocol.report();
+    let call = loader.platform_api.report();
     let response = client.call(&call, ENGINE_TIMEOUT_MILLIS).await.ok()?;
     match loader
-        .protocol
+        .platform_api
         .parse_report(response.head.status, &response.body)
     {
         Ok(mut report) => {
--- a/crates/gingerpier_gateway/src/loader/sync.rs
+++ b/crates/gingerpier_gateway/src/loader/sync.rs
@@ -35,7 +35,7 @@
 pub async fn run(loader: Rc<Loader>) {
     let settings = &loader.settings;
     let mut poller = Poller::new(settings.peers, settings.regions.len(), clock::now());
-    let mut client = store::client(settings.store, loader.protocol);
+    let mut client = store::client(settings.store, loader.platform_api);
     let mut is_current = false;
     loop {
         match next_step(&loader, &mut poller) {
@@ -162,8 +162,8 @@
             Err(error) => tracing::warn!(cause = %error, "gateway returned no engine list"),
         }
     }
-    let mut client = store::client(loader.settings.store, loader.protocol);
-    match store::read_full(&mut client, loader.protocol, Scope::Engines, true).await {
+    let mut client = store::client(loader.settings.store, loader.platform_api);
+    match store::read_full(&mut client, loader.platform_api, Scope::Engines, true).await {
         Ok(copy) => {
             let mut fleet = Fleet::default();
             loader.set_fleet_services(&mut fleet);
@@ -183,7 +183,7 @@
 }
 
 async fn read_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<(), Error> {
-    let copy = store::read_full(client, loader.protocol, scope, false).await?;
+    let copy = store::read_full(client, loader.platform_api, scope, false).await?;
     apply_items(loader, &copy.items, copy.revision);
     Ok(())
 }
@@ -191,7 +191,15 @@
 /// Watches `scope`; false if the store has lost the history and has to be read again.
 async fn watch_store(loader: &Loader, client: &mut Client, scope: Scope) -> Result<bool, Error> {
     let after = loader.revision.get();
-    match store::watch(client, loader.protocol, scope, after, WATCH_TIMEOUT_MILLIS).await? {
+    match store::watch(
+        client,
+        loader.platform_api,
+        scope,
+        after,
+        WATCH_TIMEOUT_MILLIS,
+    )
+    .await?
+    {
         WatchResponse::Compacted => Ok(false),
         WatchResponse::Changes(page) => {
             apply_items(loader, &page.items, page.revision);
--- a/crates/gingerpier_gateway/src/proxy/attempt.rs
+++ b/crates/gingerpier_gateway/src/proxy/attempt.rs
@@ -126,7 +126,7 @@
     engine: EngineKey,
     options: &AttemptOptions<'_>,
 ) -> Result<PendingResponse, AttemptError> {
-    let header_names = state.protocol.header_names();
+    let header_names = state.platform_api.header_names();
     let (address, bytes) = {
         let fleet = state.fleet.borrow();
         let engine = fleet.engine(engine);
--- a/crates/gingerpier_gateway/src/proxy/completion.rs
+++ b/crates/gingerpier_gateway/src/proxy/completion.rs
@@ -64,7 +64,7 @@
         let engine = fleet.engine(engine);
         if log::allows_request_line() {
             tracing::info!(
-                id = self.request.attempt_id(self.state.protocol.header_names()),
+                id = self.request.attempt_id(self.state.platform_api.header_names()),
                 engine = engine.record.id,
                 cause = ?error.cause,
                 failure = ?error.failure,
@@ -129,7 +129,7 @@
             refusals.get_or_create(&RefusalLabels { reason }).inc();
         }
         self.log_ending(ending, progress);
-        let header_names = self.state.protocol.header_names();
+        let header_names = self.state.platform_api.header_names();
         let bytes = error_response::encode(
             error,
             self.request.head,
@@ -204,7 +204,7 @@
         let fleet = self.state.fleet.borrow();
         let engine = self.tried.last().map(|key| fleet.engine(*key));
         tracing::info!(
-            id = self.request.attempt_id(self.state.protocol.header_names()),
+            id = self.request.attempt_id(self.state.platform_api.header_names()),
             outcome = ?ending,
             mark = %self.request.fingerprint,
             route = self.request.route_settings().name,
@@ -249,7 +249,7 @@
     head: &Request,
     error: ErrorResponse,
 ) -> Persistence {
-    let header_names = state.protocol.header_names();
+    let header_names = state.platform_api.header_names();
     let ending = match error {
         ErrorResponse::NoConfiguration | ErrorResponse::ShuttingDown => Ending::Refused,
         _ => Ending::Denied,
--- a/crates/gingerpier_gateway/src/proxy/forward.rs
+++ b/crates/gingerpier_gateway/src/proxy/forward.rs
@@ -296,7 +296,7 @@
         progress: &mut Progress,
         in_flight: &mut InFlight,
     ) -> AttemptOutcome {
-        let header_names = self.state.protocol.header_names();
+        let header_names = self.state.platform_api.header_names();
         let head = &response.head;
         let is_refused = head.status == 421 || head.fields.get(header_names.not_run).is_some();
         let is_success = (200..300).contains(&head.status);
@@ -375,7 +375,7 @@
     pub(super) fn record_completion(&self, head: &Response) {
         let version = head
             .fields
-            .number(self.state.protocol.header_names().version);
+            .number(self.state.platform_api.header_names().version);
         let version = Version(version.unwrap_or_default());
         self.state
             .record_completion(self.request.fingerprint, version);
--- a/crates/gingerpier_gateway/src/proxy/request.rs
+++ b/crates/gingerpier_gateway/src/proxy/request.rs
@@ -73,7 +73,7 @@
         body: &'a Bytes,
         received: Instant,
     ) -> Result<Self, ErrorResponse> {
-        let header_names = state.protocol.header_names();
+        let header_names = state.platform_api.header_names();
         if state.is_closed.get() {
             return Err(ErrorResponse::ShuttingDown);
         }
--- a/crates/gingerpier_gateway/src/proxy/stream.rs
+++ b/crates/gingerpier_gateway/src/proxy/stream.rs
@@ -164,7 +164,7 @@
         mut decoder,
         is_request_sent,
     } = response;
-    let header_names = forwarder.state.protocol.header_names();
+    let header_names = forwarder.state.platform_api.header_names();
     let version = Version(head.fields.number(header_names.version).unwrap_or_default());
     let mut output = Vec::new();
     if !progress.has_begun {
--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -20,7 +20,7 @@
 
 impl State {
     pub(super) fn handle_deletion(&self, item: &Item, deletion: Absence) {
-        let id = match self.protocol.item_kind(&item.key) {
+        let id = match self.platform_api.item_kind(&item.key) {
             ItemKind::Engine(id) => id,
             ItemKind::Evacuation(zone) => return self.set_evacuated(&zone, false, item.revision),
             _ => return,
@@ -79,7 +79,7 @@
 
     /// Unlists the engine whose entry can't be parsed, until a valid entry replaces it.
     pub(super) fn unlist_unreadable(&self, item: &Item) {
-        let ItemKind::Engine(id) = self.protocol.item_kind(&item.key) else {
+        let ItemKind::Engine(id) = self.platform_api.item_kind(&item.key) else {
             return;
         };
         let mut fleet = self.fleet.borrow_mut();
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -49,8 +49,8 @@
 pub struct State {
     /// Settings from the settings file.
     pub settings: Settings,
-    /// Protocol of the deployment platform.
-    pub protocol: &'static dyn PlatformApi,
+    /// Adapter to the deployment platform.
+    pub platform_api: &'static dyn PlatformApi,
     /// Parser of the store's items.
     pub item_parser: Parser,
     /// Local copy of the store.
@@ -108,7 +108,7 @@
 
 impl State {
     /// Creates the state of a process that starts now.
-    pub fn new(settings: Settings, protocol: &'static dyn PlatformApi) -> Self {
+    pub fn new(settings: Settings, platform_api: &'static dyn PlatformApi) -> Self {
         let started = clock::now();
         let regions = settings.regions.iter();
         let regions =
@@ -118,8 +118,8 @@
             .in_incarnation(clock::stamp().as_unix_millis());
         Self {
             settings,
-            protocol,
-            item_parser: Parser::new(protocol),
+            platform_api,
+            item_parser: Parser::new(platform_api),
             mirror: RefCell::default(),
             fleet: RefCell::new(Fleet::with_regions(regions.clone())),
             retry_budgets: RefCell::default(),
@@ -131,7 +131,7 @@
             bootstrap_loaders: RefCell::default(),
             snapshots: Snapshots::default(),
             suspect_state: SuspectState::default(),
-            distributor: Rc::new(Distributor::new(protocol)),
+            distributor: Rc::new(Distributor::new(platform_api)),
             is_stopping: Cell::new(false),
             is_closed: Cell::new(false),
             closing: Notify::new(),
@@ -188,7 +188,7 @@
     fn slim(&self, items: Changes) -> Changes {
         let items = items.into_iter();
         items
-            .map(|item| strip_unused_value(self.protocol, item))
+            .map(|item| strip_unused_value(self.platform_api, item))
             .collect()
     }
 
--- a/crates/gingerpier_gateway/src/store.rs
+++ b/crates/gingerpier_gateway/src/store.rs
@@ -83,7 +83,7 @@
     pub async fn read(
         &mut self,
         client: &mut Client,
-        protocol: &dyn PlatformApi,
+        platform_api: &dyn PlatformApi,
         scope: Scope,
         stale: bool,
     ) -> Result<Instant, Error> {
@@ -97,16 +97,16 @@
             let started = *self.started.get_or_insert_with(clock::now);
             let is_first_page = self.items.is_empty();
             let after = self.items.last().map_or("", |item| item.key.as_str());
-            let request = protocol.list(scope, after, stale);
+            let request = platform_api.list(scope, after, stale);
             let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
-            let page = read_page(client.peer(), protocol, &response)?;
+            let page = read_page(client.peer(), platform_api, &response)?;
             if is_first_page {
                 self.revision = page.revision;
             }
             self.last_page_revision = page.revision;
             let items = page.items.into_iter();
             self.items
-                .extend(items.map(|item| strip_unused_value(protocol, item)));
+                .extend(items.map(|item| strip_unused_value(platform_api, item)));
             if !page.has_more {
                 return Ok(started);
             }
@@ -121,32 +121,32 @@
 /// Fails if a page can't be read.
 pub async fn read_full(
     client: &mut Client,
-    protocol: &dyn PlatformApi,
+    platform_api: &dyn PlatformApi,
     scope: Scope,
     stale: bool,
 ) -> Result<FullCopy, Error> {
     let mut copy = FullCopy::default();
-    copy.read(client, protocol, scope, stale).await?;
+    copy.read(client, platform_api, scope, stale).await?;
     Ok(copy)
 }
 
 /// Creates a client of the store at `peer` that uses a small request to tell a dead connection from
 /// a slow network.
-pub fn client(peer: SocketAddr, protocol: &dyn PlatformApi) -> Client {
-    Client::new(peer).with_probe(small_request(protocol))
+pub fn client(peer: SocketAddr, platform_api: &dyn PlatformApi) -> Client {
+    Client::new(peer).with_probe(small_request(platform_api))
 }
 
 /// Request for an empty page that may be stale, which costs little.
-fn small_request(protocol: &dyn PlatformApi) -> ApiRequest {
-    protocol.list(Scope::Everything, AFTER_LAST_KEY, true)
+fn small_request(platform_api: &dyn PlatformApi) -> ApiRequest {
+    platform_api.list(Scope::Everything, AFTER_LAST_KEY, true)
 }
 
 fn read_page(
     peer: SocketAddr,
-    protocol: &dyn PlatformApi,
+    platform_api: &dyn PlatformApi,
     response: &Whole,
 ) -> Result<Page, Error> {
-    let page = protocol.parse_list(response.head.status, &response.body);
+    let page = platform_api.parse_list(response.head.status, &response.body);
     page.map_err(|cause| Error::Response {
         step: Operation::Parse,
         peer,
@@ -161,14 +161,14 @@
 /// Fails if the request fails or the response is invalid.
 pub async fn watch(
     client: &mut Client,
-    protocol: &dyn PlatformApi,
+    platform_api: &dyn PlatformApi,
     scope: Scope,
     after: Revision,
     millis: u64,
 ) -> Result<WatchResponse, Error> {
-    let request = protocol.watch(scope, after, millis);
+    let request = platform_api.watch(scope, after, millis);
     let response = client.call(&request, millis + WATCH_SLACK_MILLIS).await?;
-    let watched = protocol.parse_watch(response.head.status, &response.body);
+    let watched = platform_api.parse_watch(response.head.status, &response.body);
     watched.map_err(|cause| Error::Response {
         step: Operation::Parse,
         peer: client.peer(),
@@ -195,7 +195,7 @@
     let mut watching = WatcherSelection::new(state.settings.control, clock::now());
     let client = Client::recording(state.settings.store, state.store_received_at.clone());
     let mut polling = Polling {
-        client: client.with_probe(small_request(state.protocol)),
+        client: client.with_probe(small_request(state.platform_api)),
         copy: FullCopy::default(),
         needs_copy: false,
         has_missed_changes: false,
@@ -311,7 +311,7 @@
     state.metrics.store_calls.inc();
     let Polling { client, copy, .. } = polling;
     let started = copy
-        .read(client, state.protocol, Scope::Everything, false)
+        .read(client, state.platform_api, Scope::Everything, false)
         .await?;
     let copy = std::mem::take(&mut polling.copy);
     state.record_store_response(copy.last_page_revision);
@@ -336,7 +336,7 @@
     };
     let watched = watch(
         client,
-        state.protocol,
+        state.platform_api,
         Scope::Everything,
         after,
         wait_millis,
@@ -388,10 +388,10 @@
 async fn is_current(state: &State, client: &mut Client) -> Result<bool, Error> {
     state.metrics.store_calls.inc();
     let request = state
-        .protocol
+        .platform_api
         .list(Scope::Everything, AFTER_LAST_KEY, false);
     let response = client.call(&request, READ_TIMEOUT_MILLIS).await?;
-    let page = read_page(client.peer(), state.protocol, &response)?;
+    let page = read_page(client.peer(), state.platform_api, &response)?;
     state.record_store_response(page.revision);
     Ok(page.revision <= state.mirror.borrow().revision())
 }
--- a/crates/gingerpier_gateway/src/weights/fetch.rs
+++ b/crates/gingerpier_gateway/src/weights/fetch.rs
@@ -140,7 +140,7 @@
     let mut client = Client::new(engine);
     for chunk in 0..manifest.digests.len() as u32 {
         let call = distributor
-            .protocol
+            .platform_api
             .staged_chunk(&model_version.model, chunk);
         let Ok(response) = client.call(&call, ENGINE_TIMEOUT_MILLIS).await else {
             return;
--- a/crates/gingerpier_gateway/src/weights/manifest.rs
+++ b/crates/gingerpier_gateway/src/weights/manifest.rs
@@ -108,7 +108,7 @@
             }
         };
         let manifest = bytes.and_then(|bytes| {
-            let manifest = distributor.protocol.parse_manifest(200, &bytes).ok()?;
+            let manifest = distributor.platform_api.parse_manifest(200, &bytes).ok()?;
             Some((manifest, bytes))
         });
         if let Some((manifest, bytes)) = manifest {
@@ -133,7 +133,7 @@
     model_version: &ModelVersion,
 ) -> Option<ModelVersion> {
     let bytes = read_from_origin(distributor, origin, model_version).await?;
-    let manifest = distributor.protocol.parse_manifest(200, &bytes).ok()?;
+    let manifest = distributor.platform_api.parse_manifest(200, &bytes).ok()?;
     let source = origin.peer();
     Some(cache_manifest(
         distributor,
@@ -170,13 +170,13 @@
     origin: &mut Client,
     model_version: &ModelVersion,
 ) -> Option<Bytes> {
-    let call = distributor.protocol.manifest(model_version);
+    let call = distributor.platform_api.manifest(model_version);
     let mut earlier_reads: Vec<Bytes> = Vec::new();
     for _ in 0..MAX_ORIGIN_READS {
         let response = origin.call(&call, MANIFEST_TIMEOUT_MILLIS).await.ok()?;
         let status = response.head.status;
         if distributor
-            .protocol
+            .platform_api
             .parse_manifest(status, &response.body)
             .is_err()
         {
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -44,8 +44,8 @@
 
 /// Chunk cache of a process and the state of its weights transfers.
 pub struct Distributor {
-    /// Platform protocol.
-    pub protocol: &'static dyn PlatformApi,
+    /// Adapter to the deployment platform.
+    pub platform_api: &'static dyn PlatformApi,
     /// Chunks in memory.
     pub chunk_cache: RefCell<ChunkCache>,
     /// Encoded engine and service configuration for loaders; set on gateways once known.
@@ -71,7 +71,7 @@
 impl Distributor {
     /// Distribution state of a loader next to `engine`, behind a narrow link.
     pub fn for_engine(
-        protocol: &'static dyn PlatformApi,
+        platform_api: &'static dyn PlatformApi,
         engine: SocketAddr,
         link_bits_per_second: u64,
     ) -> Self {
@@ -80,14 +80,14 @@
             engine: Some(engine),
             pacer: Some(RefCell::new(pacer)),
             upload_permits: Semaphore::new(MAX_UPLOADS_NARROW),
-            ..Self::new(protocol)
+            ..Self::new(platform_api)
         }
     }
 
     /// Distribution state of a process behind a wide link.
-    pub fn new(protocol: &'static dyn PlatformApi) -> Self {
+    pub fn new(platform_api: &'static dyn PlatformApi) -> Self {
         Self {
-            protocol,
+            platform_api,
             chunk_cache: RefCell::default(),
             configuration: RefCell::default(),
             engine: None,
--- a/crates/gingerpier_gateway/src/weights/peers.rs
+++ b/crates/gingerpier_gateway/src/weights/peers.rs
@@ -186,7 +186,7 @@
         return None;
     }
     let call = distributor
-        .protocol
+        .platform_api
         .staged_chunk(&peer_request.model_version.model, chunk);
     let mut client = Client::new(engine);
     let response = client.call(&call, ENGINE_TIMEOUT_MILLIS).await.ok()?;
--- a/crates/gingerpier_gateway/src/weights/request.rs
+++ b/crates/gingerpier_gateway/src/weights/request.rs
@@ -102,7 +102,7 @@
         if self.source == Source::Origin {
             return self
                 .distributor
-                .protocol
+                .platform_api
                 .chunk(&self.model_version, self.chunk);
         }
         let peer_request = PeerRequest {
