--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -55,7 +55,7 @@
     pub(super) fn list_engine(&self, record: Record, revision: Revision) {
         let mut fleet = self.fleet.borrow_mut();
         let id = record.id.clone();
-        let (state, born) = (record.state, record.report.start_time);
+        let (state, start_time) = (record.state, record.report.start_time);
         let known = fleet.find(&id);
         let last_state = known.map(|key| fleet.engine(key).record.state);
         let address = record.address;
@@ -70,7 +70,7 @@
             tracing::info!(engine = id, cold_millis, "engine is cold");
         }
         if known.is_some_and(|known| known != key) {
-            tracing::info!(engine = id, born = ?born, %address, "engine has started again");
+            tracing::info!(engine = id, born = ?start_time, %address, "engine has started again");
         }
         if known != Some(key) || last_state != Some(state) {
             tracing::info!(engine = id, %address, service, ?state, "engine listed");
