--- a/crates/gingerpier_serving/src/suspects.rs
+++ b/crates/gingerpier_serving/src/suspects.rs
@@ -41,8 +41,8 @@
     },
 };
 
-/// Attributed crashes from which on a request is held back; with three, unlucky innocent requests
-/// were held back too.
+/// Attributed crashes from which on a request is held back; fewer may coincide with an innocent
+/// request.
 pub const HOLD_MIN_CRASHES: usize = 4;
 
 /// Unrefuted crashes from which on a request is held back even where other requests explain them;
