--- a/crates/gingerpier_gateway/src/state/engines.rs
+++ b/crates/gingerpier_gateway/src/state/engines.rs
@@ -20,7 +20,7 @@
 
 impl State {
     pub(super) fn handle_deletion(&self, item: &Item, deletion: Absence) {
-        let id = match self.protocol.item_kind(&item.key) {
+        let id = match self.platform_api.item_kind(&item.key) {
             ItemKind::Engine(id) => id,
             ItemKind::Evacuation(zone) => return self.set_evacuated(&zone, false, item.revision),
             _ => return,
@@ -55,7 +55,7 @@
     pub(super) fn list_engine(&self, record: Record, revision: Revision) {
         let mut fleet = self.fleet.borrow_mut();
         let id = record.id.clone();
-        let (state, born) = (record.state, record.report.start_time);
+        let (state, start_time) = (record.state, record.report.start_time);
         let known = fleet.find(&id);
         let last_state = known.map(|key| fleet.engine(key).record.state);
         let address = record.address;
@@ -70,7 +70,7 @@
             tracing::info!(engine = id, cold_millis, "engine is cold");
         }
         if known.is_some_and(|known| known != key) {
-            tracing::info!(engine = id, born = ?born, %address, "engine has started again");
+            tracing::info!(engine = id, born = ?start_time, %address, "engine has started again");
         }
         if known != Some(key) || last_state != Some(state) {
             tracing::info!(engine = id, %address, service, ?state, "engine listed");
@@ -79,7 +79,7 @@
 
     /// Unlists the engine whose entry can't be parsed, until a valid entry replaces it.
     pub(super) fn unlist_unreadable(&self, item: &Item) {
-        let ItemKind::Engine(id) = self.protocol.item_kind(&item.key) else {
+        let ItemKind::Engine(id) = self.platform_api.item_kind(&item.key) else {
             return;
         };
         let mut fleet = self.fleet.borrow_mut();
