--- a/crates/gingerpier_daemon/src/backend/attempts.rs
+++ b/crates/gingerpier_daemon/src/backend/attempts.rs
@@ -1,7 +1,7 @@
-//! Requests at the door: admitted once, run at the engine, answered whole or not as whole.
+//! Attempts at a backend server: deduplicated, run at an engine, and their responses relayed.
 
 use {
-    super::{Backend, engines::Slot},
+    super::{Backend, engines::Upstream},
     crate::clock,
     bytes::Bytes,
     futures_util::future::Either,
@@ -21,120 +21,129 @@
     tokio::sync::oneshot,
 };
 
-/// Milliseconds for which an attempt that ended is remembered.
+/// Time for which a finished attempt is remembered, to recognize duplicates.
 const RETENTION_MILLIS: u64 = 600_000;
-/// The longest body of a request that a door takes.
-const LONGEST_BODY: u32 = 64 << 20;
+/// Limit on the size of a request body.
+const MAX_BODY_BYTES: u32 = 64 << 20;
 
-/// Attempts seen by this process.
+/// Attempts that this process has received.
 pub struct Attempts {
     deduplicator: RefCell<Deduplicator>,
-    cancels: RefCell<BTreeMap<AttemptKey, oneshot::Sender<()>>>,
+    cancel_senders: RefCell<BTreeMap<AttemptKey, oneshot::Sender<()>>>,
 }
 
 impl Attempts {
-    /// None seen yet by the process run `incarnation`.
+    /// Creates the state for the process run `incarnation`.
     pub fn new(incarnation: Incarnation) -> Self {
         let deduplicator = RefCell::new(Deduplicator::new(incarnation, RETENTION_MILLIS));
         Self {
             deduplicator,
-            cancels: RefCell::default(),
+            cancel_senders: RefCell::default(),
         }
     }
 
-    /// Attempts running.
-    pub fn running(&self) -> usize {
+    /// Returns the number of running attempts.
+    pub fn running_count(&self) -> usize {
         self.deduplicator.borrow().running_count()
     }
 
-    /// Forgets attempts that ended long ago.
-    pub fn sweep(&self) {
+    /// Removes expired records of finished attempts.
+    pub fn remove_expired(&self) {
         self.deduplicator.borrow_mut().remove_expired(clock::now());
     }
 
-    /// Shuts the door to an attempt, and ends it where it runs.
+    /// Keeps an attempt from starting, and cancels it if it runs.
     pub fn revoke(&self, key: AttemptKey, addressed: Incarnation) -> Revocation {
         let revocation = self
             .deduplicator
             .borrow_mut()
             .revoke(key, addressed, clock::now());
-        if let Some(cancel) = self.cancels.borrow_mut().remove(&key) {
-            // An attempt that ends at this moment does not listen any more.
+        if let Some(cancel) = self.cancel_senders.borrow_mut().remove(&key) {
+            // The attempt may have just ended.
             let _ = cancel.send(());
         }
         revocation
     }
 
-    fn admit(&self, attempt: &Attempt, ready: Result<(), Refusal>) -> Admission {
+    fn admit(&self, attempt: &Attempt, readiness: Result<(), Refusal>) -> Admission {
         let Attempt { key, addressed, .. } = attempt;
         self.deduplicator
             .borrow_mut()
-            .admit(*key, *addressed, ready, clock::now())
+            .admit(*key, *addressed, readiness, clock::now())
     }
 
-    fn start(&self, key: AttemptKey) -> oneshot::Receiver<()> {
+    fn register_cancel(&self, key: AttemptKey) -> oneshot::Receiver<()> {
         let (cancel, cancelled) = oneshot::channel();
-        self.cancels.borrow_mut().insert(key, cancel);
+        self.cancel_senders.borrow_mut().insert(key, cancel);
         cancelled
     }
 
-    fn end(&self, key: AttemptKey) {
-        self.cancels.borrow_mut().remove(&key);
+    fn record_end(&self, key: AttemptKey) {
+        self.cancel_senders.borrow_mut().remove(&key);
         self.deduplicator.borrow_mut().record_end(key, clock::now());
     }
 
-    fn turn_back(&self, key: AttemptKey) {
-        self.cancels.borrow_mut().remove(&key);
+    fn record_not_run(&self, key: AttemptKey) {
+        self.cancel_senders.borrow_mut().remove(&key);
         self.deduplicator
             .borrow_mut()
             .record_not_run(key, clock::now());
     }
 }
 
-/// How an attempt that was let in came out.
+/// Result of an admitted attempt.
 enum Outcome {
-    /// The engine never took it.
-    TurnedBack(Refusal),
-    /// It ran; the answer was whole.
-    Whole(u64),
-    /// It ran, or may have; the answer is not whole.
-    Broken(String),
+    /// The request didn't run.
+    NotRun(Refusal),
+    /// It ran and its response was relayed completely; holds the length of the body in bytes.
+    Complete(u64),
+    /// It may have run, and its response is incomplete; holds the reason.
+    Incomplete(String),
 }
 
 impl Backend {
-    /// Serves an attempt; `link` is where it came from.
+    /// Serves an attempt that was received on `link`.
     pub async fn serve_attempt(&self, mut stream: Stream, attempt: Attempt, link: &Link) {
-        if attempt.body_length > LONGEST_BODY {
-            let refused = Reply::Refused {
+        if attempt.body_length > MAX_BODY_BYTES {
+            let reply = Reply::Refused {
                 refusal: Refusal::Full,
                 others: None,
             };
-            self.reply(&mut stream, &refused).await;
+            self.reply(&mut stream, &reply).await;
             return;
         }
         let Ok(body) = stream.receive_exact(attempt.body_length as usize).await else {
             return;
         };
-        let slot = self.slot(&attempt.engine).cloned();
-        let ready = match &slot {
+        let upstream = self.upstream(&attempt.engine).cloned();
+        let readiness = match &upstream {
             None => Err(Refusal::NoEngine),
-            Some(_) if self.takes_no_work() => Err(Refusal::Leaving),
-            Some(slot) => slot.readiness(&attempt),
+            Some(_) if self.refuses_new_requests() => Err(Refusal::Leaving),
+            Some(upstream) => upstream.readiness(&attempt),
         };
-        match (self.attempts.admit(&attempt, ready), slot) {
-            (Admission::Start, Some(slot)) => {
-                self.run_attempt(&mut stream, &attempt, body.into(), &slot, link)
+        match (self.attempts.admit(&attempt, readiness), upstream) {
+            (Admission::Start, Some(upstream)) => {
+                self.run_attempt(&mut stream, &attempt, body.into(), &upstream, link)
                     .await;
             }
             (Admission::Duplicate, _) => self.reply(&mut stream, &Reply::Duplicate).await,
-            (Admission::Refuse(refusal), slot) => {
+            (Admission::Refuse(refusal), upstream) => {
                 tracing::debug!(event = "attempt_refused", request = attempt.request,
                     engine = %attempt.engine, refusal = ?refusal);
-                let others = slot.map(|slot| slot.others(attempt.key.entry));
-                self.reply(&mut stream, &Reply::Refused { refusal, others })
-                    .await;
+                let load_from_others =
+                    upstream.map(|upstream| upstream.load_from_others(attempt.key.entry));
+                self.reply(
+                    &mut stream,
+                    &Reply::Refused {
+                        refusal,
+                        others: load_from_others,
+                    },
+                )
+                .await;
+            }
+            (Admission::Start, None) => {
+                unreachable!("the deduplicator starts no attempt without an engine")
             }
-            (Admission::Start, None) => unreachable!("an attempt starts only at an engine"),
         }
         stream.finish();
         stream.peer_stopped().await;
@@ -145,49 +154,55 @@
         stream: &mut Stream,
         attempt: &Attempt,
         body: Bytes,
-        slot: &Rc<Slot>,
+        upstream: &Rc<Upstream>,
         link: &Link,
     ) {
-        let cancelled = self.attempts.start(attempt.key);
-        let working = slot.work(attempt.key.entry);
+        let cancelled = self.attempts.register_cancel(attempt.key);
+        let load_guard = upstream.start_request(attempt.key.entry);
         let outcome = {
-            let running = pin!(self.run_at_engine(stream, attempt, body, slot));
-            let over = pin!(async {
+            let run = pin!(self.run_at_engine(stream, attempt, body, upstream));
+            let cancelled_or_disconnected = pin!(async {
                 futures_util::future::select(pin!(cancelled), pin!(link.closed())).await;
             });
-            match futures_util::future::select(running, over).await {
+            match futures_util::future::select(run, cancelled_or_disconnected).await {
                 Either::Left((outcome, _)) => outcome,
                 Either::Right(_) => {
-                    self.cancel_at_engine(attempt, slot).await;
-                    Outcome::Broken("revoked".to_owned())
+                    self.cancel_at_engine(attempt, upstream).await;
+                    Outcome::Incomplete("revoked".to_owned())
                 }
             }
         };
-        drop(working);
-        let others = Some(slot.others(attempt.key.entry));
-        let last = match outcome {
-            Outcome::TurnedBack(refusal) => {
-                self.attempts.turn_back(attempt.key);
-                Reply::Refused { refusal, others }
+        drop(load_guard);
+        let load_from_others = Some(upstream.load_from_others(attempt.key.entry));
+        let last_reply = match outcome {
+            Outcome::NotRun(refusal) => {
+                self.attempts.record_not_run(attempt.key);
+                Reply::Refused {
+                    refusal,
+                    others: load_from_others,
+                }
             }
-            Outcome::Whole(bytes) => {
-                self.attempts.end(attempt.key);
-                Reply::End { bytes, others }
+            Outcome::Complete(bytes) => {
+                self.attempts.record_end(attempt.key);
+                Reply::End {
+                    bytes,
+                    others: load_from_others,
+                }
             }
-            Outcome::Broken(why) => {
-                self.attempts.end(attempt.key);
+            Outcome::Incomplete(reason) => {
+                self.attempts.record_end(attempt.key);
                 tracing::warn!(event = "attempt_broken", request = attempt.request,
-                    engine = %attempt.engine, why);
-                Reply::Broken { why }
+                    engine = %attempt.engine, why = reason);
+                Reply::Broken { why: reason }
             }
         };
-        self.reply(stream, &last).await;
-        self.touch();
+        self.reply(stream, &last_reply).await;
+        self.notify_status_changed();
     }
 
-    async fn cancel_at_engine(&self, attempt: &Attempt, slot: &Rc<Slot>) {
-        let name = attempt_name(attempt.key);
-        if let Err(error) = slot.client.cancel(&name, clock::now()).await {
+    async fn cancel_at_engine(&self, attempt: &Attempt, upstream: &Rc<Upstream>) {
+        let id = attempt_id(attempt.key);
+        if let Err(error) = upstream.client.cancel(&id, clock::now()).await {
             tracing::debug!(event = "cancel_failed", request = attempt.request, %error);
         }
     }
@@ -197,47 +212,49 @@
         stream: &mut Stream,
         attempt: &Attempt,
         body: Bytes,
-        slot: &Rc<Slot>,
+        upstream: &Rc<Upstream>,
     ) -> Outcome {
         let Some(run) = to_run(attempt, body) else {
-            return Outcome::TurnedBack(Refusal::NoEngine);
+            return Outcome::NotRun(Refusal::NoEngine);
         };
-        let patience = Duration::from_millis(attempt.millis_left);
-        let mut answer = match slot.client.run(run, patience).await {
-            Ok(answer) => answer,
+        let timeout = Duration::from_millis(attempt.millis_left);
+        let mut response = match upstream.client.run(run, timeout).await {
+            Ok(response) => response,
             Err(error) if error.had_no_effect() => {
                 tracing::warn!(event = "engine_unreachable", request = attempt.request, %error);
-                return Outcome::TurnedBack(Refusal::Unreachable);
+                return Outcome::NotRun(Refusal::Unreachable);
             }
-            Err(error) => return Outcome::Broken(error.to_string()),
+            Err(error) => return Outcome::Incomplete(error.to_string()),
         };
-        let busy = matches!(
-            answer.status,
+        let is_overloaded = matches!(
+            response.status,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
         );
-        if busy && attempt.weights.is_some() {
-            return Outcome::TurnedBack(Refusal::Full);
+        if is_overloaded && attempt.weights.is_some() {
+            return Outcome::NotRun(Refusal::Full);
         }
-        if let Err(why) = check_version(attempt, &answer) {
-            return Outcome::Broken(why);
+        if let Err(reason) = check_version(attempt, &response) {
+            return Outcome::Incomplete(reason);
         }
-        if !has_end_mark(&answer) {
-            return Outcome::Broken("the engine's answer has no mark of its end".to_owned());
+        if !has_detectable_end(&response) {
+            return Outcome::Incomplete(
+                "the engine's response gives neither a length nor a transfer encoding".to_owned(),
+            );
         }
         let head = Reply::Head(Head {
-            status: answer.status.as_u16(),
-            content_type: answer
+            status: response.status.as_u16(),
+            content_type: response
                 .header(header::CONTENT_TYPE.as_str())
                 .map(str::to_owned),
             weights: attempt.weights,
         });
         if let Err(error) = stream.send(&head).await {
-            return Outcome::Broken(error.to_string());
+            return Outcome::Incomplete(error.to_string());
         }
-        pass_body(stream, &mut answer).await
+        relay_body(stream, &mut response).await
     }
 
-    /// Sends a frame; a peer that is gone finds out in its own way.
+    /// Sends a reply; the peer detects a lost one by itself.
     async fn reply(&self, stream: &mut Stream, reply: &Reply) {
         if let Err(error) = stream.send(reply).await {
             tracing::debug!(event = "reply_lost", %error);
@@ -245,13 +262,13 @@
     }
 }
 
-fn attempt_name(key: AttemptKey) -> String {
+fn attempt_id(key: AttemptKey) -> String {
     format!("{}-{}", key.entry, key.number)
 }
 
 fn to_run(attempt: &Attempt, body: Bytes) -> Option<Run> {
     let mut headers = vec![
-        (ATTEMPT_HEADER, attempt_name(attempt.key)),
+        (ATTEMPT_HEADER, attempt_id(attempt.key)),
         (PRIORITY_HEADER, attempt.priority.to_string()),
     ];
     if let Some(weights) = attempt.weights {
@@ -272,51 +289,53 @@
     })
 }
 
-/// An answer must come from the version that the request was admitted for.
-fn check_version(attempt: &Attempt, answer: &Answer) -> Result<(), String> {
-    let Some(weights) = attempt.weights.filter(|_| answer.status.is_success()) else {
+/// Checks that the response comes from the version that the request was admitted for.
+fn check_version(attempt: &Attempt, response: &Answer) -> Result<(), String> {
+    let Some(weights) = attempt.weights.filter(|_| response.status.is_success()) else {
         return Ok(());
     };
-    let named = |name| {
-        answer
+    let parse_header = |name| {
+        response
             .header(name)
             .and_then(|text| text.parse::<Digest>().ok())
     };
-    if named(WEIGHTS_HEADER) != Some(weights) {
-        return Err(format!("the answer is not of the version {weights}"));
+    if parse_header(WEIGHTS_HEADER) != Some(weights) {
+        return Err(format!(
+            "the response is not from the assigned version {weights}"
+        ));
     }
-    if attempt.adapter.is_some() && named(ADAPTER_HEADER) != attempt.adapter {
-        return Err("the answer is not of the adapter asked for".to_owned());
+    if attempt.adapter.is_some() && parse_header(ADAPTER_HEADER) != attempt.adapter {
+        return Err("the response is not from the requested adapter".to_owned());
     }
     Ok(())
 }
 
-/// True where the answer's end can be told from a connection that broke.
-fn has_end_mark(answer: &Answer) -> bool {
-    answer.headers.contains_key(header::CONTENT_LENGTH)
-        || answer.headers.contains_key(header::TRANSFER_ENCODING)
-        || answer.status == StatusCode::NO_CONTENT
+/// Returns true if the end of the response can be told from a broken connection.
+fn has_detectable_end(response: &Answer) -> bool {
+    response.headers.contains_key(header::CONTENT_LENGTH)
+        || response.headers.contains_key(header::TRANSFER_ENCODING)
+        || response.status == StatusCode::NO_CONTENT
 }
 
-async fn pass_body(stream: &mut Stream, answer: &mut Answer) -> Outcome {
+async fn relay_body(stream: &mut Stream, response: &mut Answer) -> Outcome {
     let mut bytes = 0;
     loop {
-        let part = match answer.part().await {
-            Ok(Some(part)) => part,
-            Ok(None) => return Outcome::Whole(bytes),
-            Err(error) => return Outcome::Broken(error.to_string()),
+        let chunk = match response.part().await {
+            Ok(Some(chunk)) => chunk,
+            Ok(None) => return Outcome::Complete(bytes),
+            Err(error) => return Outcome::Incomplete(error.to_string()),
         };
-        if part.is_empty() {
+        if chunk.is_empty() {
             continue;
         }
-        bytes += part.len() as u64;
-        let length = part.len() as u32;
+        bytes += chunk.len() as u64;
+        let length = chunk.len() as u32;
         let sent = match stream.send(&Reply::Body { length }).await {
-            Ok(()) => stream.send_held(part).await,
+            Ok(()) => stream.send_held(chunk).await,
             Err(error) => Err(error),
         };
         if let Err(error) = sent {
-            return Outcome::Broken(error.to_string());
+            return Outcome::Incomplete(error.to_string());
         }
     }
 }
--- a/crates/gingerpier_daemon/src/backend/engines.rs
+++ b/crates/gingerpier_daemon/src/backend/engines.rs
@@ -1,11 +1,12 @@
-//! Engines and plain services of the box, and the orders they are given.
+//! Engines and plain services of the box, and the supervisors of engines.
 //!
-//! An engine's supervisor compares the version assigned in the catalogue with what the engine
-//! reports. Weights are fetched while the engine goes on with what it holds; then its work is let
-//! end, and it is ordered to load. Every order carries the revision in force here as its fence.
-//! Until the key-value service has confirmed, through an entry box and after this process
-//! started, a revision that the ledger has reached, no order is given to an engine that does not
-//! check fences itself: an earlier run of this process may have obeyed a later one.
+//! A supervisor polls its engine and compares the loaded version with the one that the catalogue
+//! assigns. It fetches a new version while the engine serves the old one, drains the engine and
+//! orders it to load the new version.
+//!
+//! Each order carries the current catalogue revision as its fence. An engine that doesn't check
+//! fences gets no orders until the key-value service has confirmed the revision to this process, as
+//! an earlier run of the process may have sent orders for a later revision.
 
 use {
     super::Backend,
@@ -16,7 +17,7 @@
     gingerpier_once::dedup::Refusal,
     gingerpier_services::{
         Error,
-        engine::{Client, Order, Status as Reported, What},
+        engine::{Client, Order, Status as ReportedStatus, What},
         exchange,
     },
     gingerpier_settings::{Backend as Settings, backend},
@@ -30,88 +31,88 @@
     },
 };
 
-/// Milliseconds between looks at an engine.
-const LOOK_MILLIS: u64 = 200;
-/// Time for an engine's answer to an order or a question.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Milliseconds for running requests to end before an engine is loaded anew.
-const SWITCH_MILLIS: u64 = 60_000;
-/// Requests that an engine is given at once, in percent of what it runs at once.
-const QUEUE_PERCENT: u32 = 200;
+/// Interval between polls of an engine.
+const POLL_INTERVAL_MILLIS: u64 = 200;
+/// Timeout of an engine's response to an order or a status request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for running requests to end before other weights are loaded.
+const DRAIN_TIMEOUT_MILLIS: u64 = 60_000;
+/// Requests sent to an engine at once, running and queued, in percent of its capacity.
+const MAX_REQUESTS_PERCENT: u32 = 200;
 
-/// What stands behind a slot.
+/// Kind of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Model engine.
+    /// Engine that serves a model.
     Model {
-        /// True where it refuses stale fences itself.
+        /// True if the engine refuses orders with a stale fence itself.
         checks_fences: bool,
     },
-    /// Plain service.
+    /// Service without weights.
     Plain,
 }
 
-/// An engine or plain service of the box.
-pub struct Slot {
-    /// Its name.
+/// Engine or plain service of the box that requests are sent to.
+pub struct Upstream {
+    /// Name, unique in the deployment.
     pub name: Name,
-    /// Kind of models, or name of the service.
-    pub class: Name,
-    /// What it is.
+    /// Kind of engine as in the settings, or name of the service.
+    pub engine_class: Name,
+    /// Whether weights are managed.
     pub kind: Kind,
-    /// Client of it.
+    /// HTTP client of the engine or service.
     pub client: Client,
     state: RefCell<State>,
-    /// Requests running, by the entry box process that sent them.
-    work: RefCell<BTreeMap<Incarnation, u32>>,
-    /// True while no new request may start.
-    shut: Cell<bool>,
+    /// Running requests by the entry box process that sent them.
+    running_requests: RefCell<BTreeMap<Incarnation, u32>>,
+    /// True while the upstream is drained to load other weights.
+    is_draining: Cell<bool>,
 }
 
 #[derive(Default)]
 struct State {
-    reached: bool,
-    reported: Reported,
+    is_reachable: bool,
+    last_status: ReportedStatus,
     weights: Option<Digest>,
     adapters: Vec<Digest>,
     assigned: Option<Digest>,
     progress: Progress,
-    trouble: Option<String>,
+    error: Option<String>,
 }
 
-/// How far a version's weights are.
+/// Progress of the fetch of a version.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Progress {
-    /// Chunks held.
-    pub held: u32,
-    /// Chunks wanted.
-    pub wanted: u32,
-    /// Bytes taken from the origin.
+    /// Number of cached chunks.
+    pub cached_chunks: u32,
+    /// Number of chunks of the version.
+    pub total_chunks: u32,
+    /// Bytes received from the origin.
     pub origin_bytes: u64,
-    /// Bytes taken from peers.
+    /// Bytes received from peers.
     pub peer_bytes: u64,
 }
 
-/// A running request; its end is noted when this is dropped.
-pub struct Work {
-    slot: Rc<Slot>,
+/// Guard that counts a running request until it is dropped.
+pub struct RunningRequest {
+    upstream: Rc<Upstream>,
     entry: Incarnation,
 }
 
-impl Drop for Work {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
-        let mut work = self.slot.work.borrow_mut();
-        if let Some(count) = work.get_mut(&self.entry) {
+        let mut running_requests = self.upstream.running_requests.borrow_mut();
+        if let Some(count) = running_requests.get_mut(&self.entry) {
             *count -= 1;
             if *count == 0 {
-                work.remove(&self.entry);
+                running_requests.remove(&self.entry);
             }
         }
     }
 }
 
-impl Slot {
-    /// Slots of a box's settings.
+impl Upstream {
+    /// Creates the upstreams that the settings list.
     pub fn all(settings: &Settings, http: &Http) -> Vec<Rc<Self>> {
         let exchange = exchange::Client::default();
         let engines = settings
@@ -126,7 +127,12 @@
     }
 
     fn engine(engine: &backend::Engine, http: &Http, exchange: &exchange::Client) -> Self {
-        let client = Client::new(http.clone(), exchange.clone(), engine.url.clone(), PATIENCE);
+        let client = Client::new(
+            http.clone(),
+            exchange.clone(),
+            engine.url.clone(),
+            RESPONSE_TIMEOUT,
+        );
         let kind = Kind::Model {
             checks_fences: engine.checks_fences,
         };
@@ -138,50 +144,50 @@
             http.clone(),
             exchange.clone(),
             service.url.clone(),
-            PATIENCE,
+            RESPONSE_TIMEOUT,
         );
-        let reported = Reported {
+        let last_status = ReportedStatus {
             capacity: service.capacity,
-            ..Reported::default()
+            ..ReportedStatus::default()
         };
         let state = State {
-            reached: true,
-            reported,
+            is_reachable: true,
+            last_status,
             ..State::default()
         };
         Self::new(&service.name, &service.service, Kind::Plain, client, state)
     }
 
-    fn new(name: &Name, class: &Name, kind: Kind, client: Client, state: State) -> Self {
+    fn new(name: &Name, engine_class: &Name, kind: Kind, client: Client, state: State) -> Self {
         Self {
             name: name.clone(),
-            class: class.clone(),
+            engine_class: engine_class.clone(),
             kind,
             client,
             state: RefCell::new(state),
-            work: RefCell::default(),
-            shut: Cell::new(false),
+            running_requests: RefCell::default(),
+            is_draining: Cell::new(false),
         }
     }
 
-    /// Notes a request that starts.
-    pub fn work(self: &Rc<Self>, entry: Incarnation) -> Work {
-        *self.work.borrow_mut().entry(entry).or_default() += 1;
-        Work {
-            slot: self.clone(),
+    /// Counts a request of an entry box process until the guard is dropped.
+    pub fn start_request(self: &Rc<Self>, entry: Incarnation) -> RunningRequest {
+        *self.running_requests.borrow_mut().entry(entry).or_default() += 1;
+        RunningRequest {
+            upstream: self.clone(),
             entry,
         }
     }
 
-    fn running(&self) -> u32 {
-        self.work.borrow().values().sum()
+    fn running_count(&self) -> u32 {
+        self.running_requests.borrow().values().sum()
     }
 
-    /// Whether an attempt may start now.
+    /// Checks whether an attempt may start now.
     ///
     /// # Errors
     ///
-    /// Says why it may not.
+    /// Returns the reason for the refusal.
     pub fn readiness(&self, attempt: &Attempt) -> Result<(), Refusal> {
         let Attempt {
             weights,
@@ -190,60 +196,64 @@
             ..
         } = attempt;
         let state = self.state.borrow();
-        if self.shut.get() {
+        if self.is_draining.get() {
             return Err(Refusal::Leaving);
         }
-        if !state.reached {
+        if !state.is_reachable {
             return Err(Refusal::Unreachable);
         }
         if self.kind != Kind::Plain {
-            let adapted = adapter.is_none_or(|adapter| state.adapters.contains(&adapter));
-            if weights.is_none() || state.weights != *weights || !adapted {
+            let has_adapter = adapter.is_none_or(|adapter| state.adapters.contains(&adapter));
+            if weights.is_none() || state.weights != *weights || !has_adapter {
                 return Err(Refusal::OtherVersion);
             }
         }
-        let percent = if *at_once { 100 } else { QUEUE_PERCENT };
-        let most = state.reported.capacity * percent / 100;
-        if self.running() >= most.max(1) {
+        let percent = if *at_once { 100 } else { MAX_REQUESTS_PERCENT };
+        let max_requests = state.last_status.capacity * percent / 100;
+        if self.running_count() >= max_requests.max(1) {
             Err(Refusal::Full)
         } else {
             Ok(())
         }
     }
 
-    /// Requests at the engine that are not the asker's.
+    /// Returns the number of running requests that other entry box processes sent.
     ///
-    /// Every request comes through this door, so the count is exact, and never late as the
-    /// engine's own report is.
-    pub fn others(&self, asker: Incarnation) -> u32 {
-        let own = self.work.borrow().get(&asker).copied().unwrap_or(0);
-        self.running() - own
+    /// All requests to the engine pass through this process, so the count is exact.
+    pub fn load_from_others(&self, entry: Incarnation) -> u32 {
+        let own = self
+            .running_requests
+            .borrow()
+            .get(&entry)
+            .copied()
+            .unwrap_or(0);
+        self.running_count() - own
     }
 
-    /// Status as the entry box process `asker` should see it.
-    pub fn status(&self, asker: Incarnation) -> EngineStatus {
+    /// Returns the status to report to the entry box process `entry`.
+    pub fn status(&self, entry: Incarnation) -> EngineStatus {
         let state = self.state.borrow();
         EngineStatus {
             name: self.name.clone(),
-            kind: self.class.clone(),
+            kind: self.engine_class.clone(),
             plain: self.kind == Kind::Plain,
             phase: self.phase(&state),
             weights: state.weights,
             adapters: state.adapters.clone(),
-            others: self.others(asker),
-            capacity: state.reported.capacity,
-            chunks_held: state.progress.held,
-            chunks_wanted: state.progress.wanted,
+            others: self.load_from_others(entry),
+            capacity: state.last_status.capacity,
+            chunks_held: state.progress.cached_chunks,
+            chunks_wanted: state.progress.total_chunks,
             origin_bytes: state.progress.origin_bytes,
             peer_bytes: state.progress.peer_bytes,
-            trouble: state.trouble.clone(),
+            trouble: state.error.clone(),
         }
     }
 
     fn phase(&self, state: &State) -> Phase {
         match (self.kind, state.weights) {
-            _ if !state.reached => Phase::Down,
-            _ if self.shut.get() => Phase::Draining,
+            _ if !state.is_reachable => Phase::Down,
+            _ if self.is_draining.get() => Phase::Draining,
             (Kind::Plain, _) => Phase::Ready,
             (_, Some(_)) => Phase::Ready,
             (_, None) if state.assigned.is_some() => Phase::Loading,
@@ -251,94 +261,98 @@
         }
     }
 
-    fn set_trouble(&self, trouble: Option<String>) {
+    fn set_error(&self, error: Option<String>) {
         let mut state = self.state.borrow_mut();
-        if state.trouble != trouble {
-            if let Some(trouble) = &trouble {
-                tracing::warn!(event = "engine_trouble", engine = %self.name, trouble);
+        if state.error != error {
+            if let Some(error) = &error {
+                tracing::warn!(event = "engine_trouble", engine = %self.name, trouble = error);
             }
-            state.trouble = trouble;
+            state.error = error;
         }
     }
 }
 
-/// What an engine is to hold.
+/// Versions that the catalogue assigns to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Wanted {
+struct DesiredVersions {
     base: VersionKey,
     weights: Digest,
     adapters: Vec<Digest>,
 }
 
-fn parse(text: &str) -> Option<Digest> {
+fn parse_digest(text: &str) -> Option<Digest> {
     text.parse().ok()
 }
 
 impl Backend {
-    /// Supervises an engine for as long as the process runs.
-    pub fn install_engine(self: Rc<Self>, slot: Rc<Slot>) {
-        if slot.kind == Kind::Plain {
+    /// Spawns the supervisor of an engine; plain services need none.
+    pub fn spawn_engine_supervisor(self: Rc<Self>, upstream: Rc<Upstream>) {
+        if upstream.kind == Kind::Plain {
             return;
         }
         actix_rt::spawn(async move {
             loop {
-                self.look_at(&slot).await;
-                self.touch();
-                clock::pause(LOOK_MILLIS).await;
+                self.poll_engine(&upstream).await;
+                self.notify_status_changed();
+                clock::pause(POLL_INTERVAL_MILLIS).await;
             }
         });
     }
 
-    async fn look_at(&self, slot: &Slot) {
-        let reported = slot.client.status(clock::now()).await;
-        let wanted = self.wanted(slot);
-        self.note_report(slot, reported, wanted.as_ref());
-        let Some(wanted) = wanted else { return };
-        if !slot.state.borrow().reached {
+    async fn poll_engine(&self, upstream: &Upstream) {
+        let status = upstream.client.status(clock::now()).await;
+        let desired = self.desired_versions(upstream);
+        self.record_status(upstream, status, desired.as_ref());
+        let Some(desired) = desired else { return };
+        if !upstream.state.borrow().is_reachable {
             return;
         }
-        if let Err(trouble) = self.bring_to(slot, &wanted).await {
-            slot.set_trouble(Some(trouble));
+        if let Err(error) = self.reconcile(upstream, &desired).await {
+            upstream.set_error(Some(error));
         }
-        slot.shut.set(false);
+        upstream.is_draining.set(false);
     }
 
-    fn wanted(&self, slot: &Slot) -> Option<Wanted> {
-        let catalogue = self.process.ledger.catalogue();
-        let base = catalogue.assignments().get(&slot.name)?.version;
+    fn desired_versions(&self, upstream: &Upstream) -> Option<DesiredVersions> {
+        let catalogue = self.process.catalogue_state.catalogue();
+        let base = catalogue.assignments().get(&upstream.name)?.version;
         let zone = &self.process.hello.zone.name;
         let adapters = catalogue.adapters_on(base, zone);
         let adapters = adapters
             .iter()
             .map(|key| catalogue.version(*key).manifest)
             .collect();
-        Some(Wanted {
+        Some(DesiredVersions {
             base,
             weights: catalogue.version(base).manifest,
             adapters,
         })
     }
 
-    /// An engine counts as holding a version only while the version is the one assigned, or the
-    /// one it held before, and it reports it whole itself.
-    fn note_report(&self, slot: &Slot, reported: Result<Reported, Error>, wanted: Option<&Wanted>) {
-        let mut state = slot.state.borrow_mut();
-        state.assigned = wanted.map(|wanted| wanted.weights);
-        match reported {
-            Ok(reported) => {
-                state.reached = true;
-                let held = reported.weights.as_deref().and_then(parse);
-                state.weights = held.filter(|_| wanted.is_some());
-                state.adapters = reported
+    /// Updates the state from a poll; a loaded version counts only while a version is assigned.
+    fn record_status(
+        &self,
+        upstream: &Upstream,
+        status: Result<ReportedStatus, Error>,
+        desired: Option<&DesiredVersions>,
+    ) {
+        let mut state = upstream.state.borrow_mut();
+        state.assigned = desired.map(|desired| desired.weights);
+        match status {
+            Ok(status) => {
+                state.is_reachable = true;
+                let loaded = status.weights.as_deref().and_then(parse_digest);
+                state.weights = loaded.filter(|_| desired.is_some());
+                state.adapters = status
                     .adapters
                     .iter()
-                    .filter_map(|text| parse(text))
+                    .filter_map(|text| parse_digest(text))
                     .collect();
-                state.reported = reported;
+                state.last_status = status;
             }
             Err(error) => {
-                if std::mem::replace(&mut state.reached, false) {
-                    tracing::warn!(event = "engine_down", engine = %slot.name, %error);
+                if std::mem::replace(&mut state.is_reachable, false) {
+                    tracing::warn!(event = "engine_down", engine = %upstream.name, %error);
                 }
                 state.weights = None;
                 state.adapters.clear();
@@ -346,41 +360,50 @@
         }
     }
 
-    async fn bring_to(&self, slot: &Slot, wanted: &Wanted) -> Result<(), String> {
-        self.release_others(wanted);
-        if slot.state.borrow().weights != Some(wanted.weights) {
-            let Some(manifest) = self.fetched(slot, wanted.weights)? else {
+    async fn reconcile(
+        &self,
+        upstream: &Upstream,
+        desired: &DesiredVersions,
+    ) -> Result<(), String> {
+        self.unassign_other_versions(desired);
+        if upstream.state.borrow().weights != Some(desired.weights) {
+            let Some(manifest) = self.cached_manifest(upstream, desired.weights)? else {
                 return Ok(());
             };
-            self.check_authority(slot)?;
-            self.empty(slot).await;
+            self.check_fence(upstream)?;
+            self.drain_upstream(upstream).await;
             return self
-                .load(slot, wanted, wanted.weights, &manifest, None)
+                .load_weights(upstream, desired, desired.weights, &manifest, None)
                 .await;
         }
-        slot.set_trouble(None);
-        for adapter in &wanted.adapters {
-            if slot.state.borrow().adapters.contains(adapter) {
+        upstream.set_error(None);
+        for adapter in &desired.adapters {
+            if upstream.state.borrow().adapters.contains(adapter) {
                 continue;
             }
-            if let Some(manifest) = self.fetched(slot, *adapter)? {
-                self.check_authority(slot)?;
-                let base = Some(wanted.weights);
-                self.load(slot, wanted, *adapter, &manifest, base).await?;
+            if let Some(manifest) = self.cached_manifest(upstream, *adapter)? {
+                self.check_fence(upstream)?;
+                let base = Some(desired.weights);
+                self.load_weights(upstream, desired, *adapter, &manifest, base)
+                    .await?;
             }
         }
-        self.drop_adapters(slot, wanted).await
+        self.unload_adapters(upstream, desired).await
     }
 
-    async fn drop_adapters(&self, slot: &Slot, wanted: &Wanted) -> Result<(), String> {
-        let held = slot.state.borrow().adapters.clone();
-        for adapter in held
+    async fn unload_adapters(
+        &self,
+        upstream: &Upstream,
+        desired: &DesiredVersions,
+    ) -> Result<(), String> {
+        let loaded = upstream.state.borrow().adapters.clone();
+        for adapter in loaded
             .into_iter()
-            .filter(|held| !wanted.adapters.contains(held))
+            .filter(|loaded| !desired.adapters.contains(loaded))
         {
-            self.check_authority(slot)?;
-            self.order(
-                slot,
+            self.check_fence(upstream)?;
+            self.send_order(
+                upstream,
                 What::DropAdapter {
                     weights: adapter.to_string(),
                 },
@@ -390,62 +413,70 @@
         Ok(())
     }
 
-    /// Notes versions that no engine here is assigned any more.
-    fn release_others(&self, wanted: &Wanted) {
-        let needed = self.slots.iter().filter_map(|slot| self.wanted(slot));
-        let mut needed: Vec<Digest> = needed
-            .flat_map(|wanted| [vec![wanted.weights], wanted.adapters].concat())
+    /// Marks versions that no engine of the box is assigned as unassigned in the cache.
+    fn unassign_other_versions(&self, desired: &DesiredVersions) {
+        let assigned = self
+            .upstreams
+            .iter()
+            .filter_map(|upstream| self.desired_versions(upstream));
+        let mut assigned: Vec<Digest> = assigned
+            .flat_map(|desired| [vec![desired.weights], desired.adapters].concat())
             .collect();
-        needed.push(wanted.weights);
-        self.weights.release_all_but(&needed);
+        assigned.push(desired.weights);
+        self.weights.unassign_all_but(&assigned);
     }
 
-    /// The version's manifest once all its chunks are here; starts the fetch where it is new.
-    fn fetched(&self, slot: &Slot, weights: Digest) -> Result<Option<Rc<Manifest>>, String> {
+    /// Returns the manifest if all chunks are cached; starts the fetch of a new version.
+    fn cached_manifest(
+        &self,
+        upstream: &Upstream,
+        weights: Digest,
+    ) -> Result<Option<Rc<Manifest>>, String> {
         let fetch = self.fetch(weights)?;
-        slot.state.borrow_mut().progress = fetch.progress();
-        if let Some(trouble) = fetch.trouble() {
-            return Err(trouble);
+        upstream.state.borrow_mut().progress = fetch.progress();
+        if let Some(error) = fetch.error() {
+            return Err(error);
         }
         Ok(fetch.complete())
     }
 
-    /// Orders may be given only under a fence that no earlier run of this process can have
-    /// passed.
-    fn check_authority(&self, slot: &Slot) -> Result<(), String> {
-        let revision = self.process.ledger.revision().0;
-        let seen = slot.state.borrow().reported.fence;
+    /// Checks that no earlier run of this process can have sent an order with a later fence.
+    fn check_fence(&self, upstream: &Upstream) -> Result<(), String> {
+        let revision = self.process.catalogue_state.revision().0;
+        let engine_fence = upstream.state.borrow().last_status.fence;
         let checks_fences = matches!(
-            slot.kind,
+            upstream.kind,
             Kind::Model {
                 checks_fences: true
             }
         );
-        let withheld = if seen > revision {
-            format!("the engine has seen fence {seen}, and revision {revision} is in force here")
+        let reason = if engine_fence > revision {
+            format!(
+                "the engine has fence {engine_fence}, newer than revision {revision} of this server"
+            )
         } else if !checks_fences && !self.is_confirmed() {
-            "the key-value service has not confirmed the revision in force here".to_owned()
+            "the key-value service has not confirmed the current revision to this server".to_owned()
         } else {
             return Ok(());
         };
         self.process.metrics.orders_withheld.inc();
-        Err(withheld)
+        Err(reason)
     }
 
-    /// Lets running requests end before the engine is loaded anew.
-    async fn empty(&self, slot: &Slot) {
-        slot.shut.set(true);
-        self.touch();
-        let deadline: Instant = clock::now().after_millis(SWITCH_MILLIS);
-        while slot.running() > 0 && !deadline.has_passed(clock::now()) {
-            clock::pause(LOOK_MILLIS / 10).await;
+    /// Stops new requests and waits until the running ones end, or for a limited time.
+    async fn drain_upstream(&self, upstream: &Upstream) {
+        upstream.is_draining.set(true);
+        self.notify_status_changed();
+        let deadline: Instant = clock::now().after_millis(DRAIN_TIMEOUT_MILLIS);
+        while upstream.running_count() > 0 && !deadline.has_passed(clock::now()) {
+            clock::pause(POLL_INTERVAL_MILLIS / 10).await;
         }
     }
 
-    async fn load(
+    async fn load_weights(
         &self,
-        slot: &Slot,
-        wanted: &Wanted,
+        upstream: &Upstream,
+        desired: &DesiredVersions,
         weights: Digest,
         manifest: &Manifest,
         base: Option<Digest>,
@@ -456,32 +487,33 @@
             base: base.map(|base| base.to_string()),
         };
         let name = weights.to_string();
-        self.order(slot, prepare).await?;
+        self.send_order(upstream, prepare).await?;
         for (index, digest) in manifest.chunks.iter().enumerate() {
-            if self.wanted(slot).as_ref() != Some(wanted) {
-                return Err("another version was assigned meanwhile".to_owned());
+            if self.desired_versions(upstream).as_ref() != Some(desired) {
+                return Err("another version was assigned during the load".to_owned());
             }
             let chunk = self.weights.chunk(*digest);
-            let chunk = chunk.ok_or_else(|| format!("chunk {index} is no longer held"))?;
-            let fence = self.process.ledger.revision().0;
-            let given = slot
+            let chunk = chunk.ok_or_else(|| format!("chunk {index} is no longer cached"))?;
+            let fence = self.process.catalogue_state.revision().0;
+            let sent = upstream
                 .client
                 .give(&name, index as u32, fence, chunk, clock::now())
                 .await;
-            given.map_err(|error| error.to_string())?;
+            sent.map_err(|error| error.to_string())?;
         }
-        self.order(slot, What::Activate { weights: name }).await?;
-        tracing::info!(event = "activated", engine = %slot.name, weights = %weights);
+        self.send_order(upstream, What::Activate { weights: name })
+            .await?;
+        tracing::info!(event = "activated", engine = %upstream.name, weights = %weights);
         Ok(())
     }
 
-    async fn order(&self, slot: &Slot, what: What) -> Result<(), String> {
+    async fn send_order(&self, upstream: &Upstream, what: What) -> Result<(), String> {
         let order = Order {
-            fence: self.process.ledger.revision().0,
+            fence: self.process.catalogue_state.revision().0,
             what,
         };
-        let taken = slot.client.order(&order, clock::now()).await;
-        taken.map_err(|error| error.to_string())
+        let sent = upstream.client.order(&order, clock::now()).await;
+        sent.map_err(|error| error.to_string())
     }
 }
 
@@ -489,7 +521,7 @@
     use std::fmt::Write;
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
-        // Writing to a string can't fail.
+        // Writing to a string never fails.
         let _ = write!(text, "{byte:02x}");
     }
     text
--- a/crates/gingerpier_daemon/src/backend/fetches.rs
+++ b/crates/gingerpier_daemon/src/backend/fetches.rs
@@ -1,12 +1,12 @@
-//! Fetches of versions: the plan's asks carried out, chunks checked, partial chunks kept.
+//! Fetches of versions: runs the plan's requests and keeps partial chunks.
 
 use {
     super::{
         Backend,
-        asks::{Ask, Asks, Ended, Failure},
+        chunk_requests::{ChunkRequest, ChunkRequests, Failure, FinishedRequest},
         engines::Progress,
-        serving::WAIT_MILLIS,
-        weights::HeldManifest,
+        serving::MAX_WAIT_MILLIS,
+        weights::CachedManifest,
     },
     crate::clock,
     bytes::BytesMut,
@@ -28,165 +28,166 @@
     tokio::sync::mpsc,
 };
 
-/// Milliseconds between looks at deadlines.
-const LOOK_MILLIS: u64 = 50;
-/// Milliseconds before a manifest is asked for again.
-const MANIFEST_PAUSE_MILLIS: u64 = 500;
-/// Time for each part of the origin's answer.
-const ORIGIN_PATIENCE: Duration = Duration::from_secs(5);
-/// The longest manifest taken from a peer.
-const LONGEST_MANIFEST: u32 = gingerpier_weights::manifest::MAX_BYTES as u32;
+/// Interval between checks of deadlines.
+const POLL_INTERVAL_MILLIS: u64 = 50;
+/// Delay before a manifest is requested again.
+const MANIFEST_RETRY_MILLIS: u64 = 500;
+/// Timeout of each part of the origin's response.
+const ORIGIN_TIMEOUT: Duration = Duration::from_secs(5);
+/// Limit on the size of a manifest from a peer.
+const MAX_MANIFEST_BYTES: u32 = gingerpier_weights::manifest::MAX_BYTES as u32;
 
-/// A version that is being fetched, or is here.
-pub struct Fetching {
+/// Fetch of a version, running or complete.
+pub struct VersionFetch {
     pub(super) version: Digest,
-    pub(super) machine: RefCell<Option<Fetch>>,
+    pub(super) state: RefCell<Option<Fetch>>,
     pub(super) complete: RefCell<Option<Rc<Manifest>>>,
-    pub(super) trouble: RefCell<Option<String>>,
+    pub(super) error: RefCell<Option<String>>,
     pub(super) origin_bytes: Cell<u64>,
     pub(super) peer_bytes: Cell<u64>,
-    pub(super) partial: RefCell<BTreeMap<u32, Partial>>,
-    /// What the plan was made from.
-    basis: Cell<Option<Basis>>,
-    /// When each source last sent anything, by the plan's keys.
-    pub(super) heard: RefCell<BTreeMap<Source, Instant>>,
-    /// Boxes of the plan, by the plan's keys.
+    pub(super) partial_chunks: RefCell<BTreeMap<u32, PartialChunk>>,
+    /// Inputs of the current plan.
+    plan_inputs: Cell<Option<PlanInputs>>,
+    /// Time of the last message of each source in the current plan.
+    pub(super) last_message_at: RefCell<BTreeMap<Source, Instant>>,
+    /// Replicas of the current plan, in the order of its keys.
     pub(super) replicas: RefCell<Vec<Peer>>,
 }
 
-/// What a plan is made from; the same basis makes the same plan.
+/// Inputs of a plan; equal inputs produce the same plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Basis {
+pub(super) struct PlanInputs {
     revision: Revision,
-    boxes: u64,
+    directory_generation: u64,
 }
 
-/// Bytes of a chunk that came before its source failed.
+/// Received part of a chunk; a request to another source resumes behind it.
 #[derive(Default)]
-pub(super) struct Partial {
+pub(super) struct PartialChunk {
     pub(super) bytes: BytesMut,
-    /// Sources that they came from.
+    /// Sources that sent parts of it.
     pub(super) sources: BTreeSet<Source>,
 }
 
-/// Where a version's weights come from at the origin.
+/// Location of a version's weights at the origin.
 pub(super) struct Origin {
     pub(super) client: weight_source::Client,
     pub(super) folder: String,
 }
 
-impl Fetching {
-    /// How far it is.
+impl VersionFetch {
+    /// Returns the progress of the fetch.
     pub fn progress(&self) -> Progress {
-        let machine = self.machine.borrow();
+        let state = self.state.borrow();
         Progress {
-            held: machine.as_ref().map_or(0, Fetch::cached_count),
-            wanted: machine.as_ref().map_or(0, Fetch::chunk_count),
+            cached_chunks: state.as_ref().map_or(0, Fetch::cached_count),
+            total_chunks: state.as_ref().map_or(0, Fetch::chunk_count),
             origin_bytes: self.origin_bytes.get(),
             peer_bytes: self.peer_bytes.get(),
         }
     }
 
-    /// What is in the way, if anything.
-    pub fn trouble(&self) -> Option<String> {
-        self.trouble.borrow().clone()
+    /// Returns the error that delays the fetch, if any.
+    pub fn error(&self) -> Option<String> {
+        self.error.borrow().clone()
     }
 
-    /// The manifest, once all chunks are here.
+    /// Returns the manifest if all chunks are cached.
     pub fn complete(&self) -> Option<Rc<Manifest>> {
         self.complete.borrow().clone()
     }
 
-    pub(super) fn progress_at(&self, chunk: u32, attempt: u64) {
-        if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            machine.record_progress(chunk, attempt, clock::now());
+    pub(super) fn record_progress(&self, chunk: u32, attempt: u64) {
+        if let Some(state) = self.state.borrow_mut().as_mut() {
+            state.record_progress(chunk, attempt, clock::now());
         }
     }
 
-    /// Notes that `source` sent something on `chunk`.
-    pub(super) fn heard(&self, source: Source, chunk: u32, attempt: u64) {
+    /// Records that `source` sent a message about `chunk`.
+    pub(super) fn record_message(&self, source: Source, chunk: u32, attempt: u64) {
         let now = clock::now();
-        self.heard.borrow_mut().insert(source, now);
-        if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            machine.record_progress(chunk, attempt, now);
+        self.last_message_at.borrow_mut().insert(source, now);
+        if let Some(state) = self.state.borrow_mut().as_mut() {
+            state.record_progress(chunk, attempt, now);
             match source.replica() {
-                Some(peer) => machine.record_peer_message(peer, now),
-                None => machine.record_origin_message(now),
+                Some(peer) => state.record_peer_message(peer, now),
+                None => state.record_origin_message(now),
             }
         }
     }
 
-    pub(super) fn want(&self, chunk: u32) {
-        if let Some(machine) = self.machine.borrow_mut().as_mut() {
-            machine.request_ahead(chunk);
+    pub(super) fn request_ahead(&self, chunk: u32) {
+        if let Some(state) = self.state.borrow_mut().as_mut() {
+            state.request_ahead(chunk);
         }
     }
 }
 
 impl Backend {
-    /// Fetch of a version that an engine here is assigned; starts it where it is new.
+    /// Returns the fetch of a version; starts it if there is none.
     ///
     /// # Errors
     ///
-    /// Where the version does not fit into the memory for chunks.
-    pub fn fetch(&self, version: Digest) -> Result<Rc<Fetching>, String> {
-        let catalogue = self.process.ledger.catalogue();
+    /// Fails if the version is unknown or doesn't fit into the cache.
+    pub fn fetch(&self, version: Digest) -> Result<Rc<VersionFetch>, String> {
+        let catalogue = self.process.catalogue_state.catalogue();
         let key = catalogue.version_of_digest(version);
-        let key = key.ok_or_else(|| format!("no version has the manifest {version}"))?;
+        let key =
+            key.ok_or_else(|| format!("no version in the catalogue has the manifest {version}"))?;
         self.weights
             .reserve(version, catalogue.version(key).bytes)?;
-        if let Some(fetching) = self.weights.fetching(version) {
-            return Ok(fetching);
+        if let Some(fetch) = self.weights.fetch(version) {
+            return Ok(fetch);
         }
-        let fetching = Rc::new(Fetching {
+        let fetch = Rc::new(VersionFetch {
             version,
-            machine: RefCell::new(None),
+            state: RefCell::new(None),
             complete: RefCell::new(None),
-            trouble: RefCell::new(None),
+            error: RefCell::new(None),
             origin_bytes: Cell::new(0),
             peer_bytes: Cell::new(0),
-            partial: RefCell::default(),
-            heard: RefCell::default(),
+            partial_chunks: RefCell::default(),
+            last_message_at: RefCell::default(),
             replicas: RefCell::default(),
-            basis: Cell::new(None),
+            plan_inputs: Cell::new(None),
         });
-        self.weights.add_fetch(version, fetching.clone());
+        self.weights.insert_fetch(version, fetch.clone());
         let url = self.settings.weights.origin.clone();
-        let client = weight_source::Client::new(self.process.http.clone(), url, ORIGIN_PATIENCE);
+        let client = weight_source::Client::new(self.process.http.clone(), url, ORIGIN_TIMEOUT);
         let origin = Rc::new(Origin {
             client,
             folder: catalogue.version(key).source.clone(),
         });
-        let this = self.strong();
-        let weak = Rc::downgrade(&fetching);
+        let backend = self.to_rc();
+        let weak_fetch = Rc::downgrade(&fetch);
         actix_rt::spawn(async move {
-            if let Some(this) = this {
-                this.run_fetch(weak, origin).await;
+            if let Some(backend) = backend {
+                backend.run_fetch(weak_fetch, origin).await;
             }
         });
-        Ok(fetching)
+        Ok(fetch)
     }
 
-    /// Runs until the version is complete, or dropped for want of room.
-    async fn run_fetch(self: Rc<Self>, weak: Weak<Fetching>, origin: Rc<Origin>) {
-        let Some(manifest) = self.await_manifest(&weak, &origin).await else {
+    /// Runs until the version is complete or dropped from the cache.
+    async fn run_fetch(self: Rc<Self>, weak_fetch: Weak<VersionFetch>, origin: Rc<Origin>) {
+        let Some(manifest) = self.fetch_manifest(&weak_fetch, &origin).await else {
             return;
         };
-        let (sender, mut ended) = mpsc::unbounded_channel();
-        let mut asks = Asks::default();
+        let (finished_sender, mut finished_receiver) = mpsc::unbounded_channel();
+        let mut requests = ChunkRequests::default();
         let mut actions = Vec::new();
-        let mut look_at = clock::now();
+        let mut next_poll_at = clock::now();
         loop {
-            let Some(fetching) = weak.upgrade() else {
+            let Some(fetch) = weak_fetch.upgrade() else {
                 return;
             };
-            self.follow_plan(&fetching, &manifest);
+            self.update_plan(&fetch, &manifest);
             let now = clock::now();
-            if let Some(machine) = fetching.machine.borrow_mut().as_mut() {
-                machine.record_poll(look_at, now);
-                machine.poll(now, &mut actions);
+            if let Some(state) = fetch.state.borrow_mut().as_mut() {
+                state.record_poll(next_poll_at, now);
+                state.poll(now, &mut actions);
             }
-            look_at = now.after_millis(LOOK_MILLIS);
+            next_poll_at = now.after_millis(POLL_INTERVAL_MILLIS);
             for action in actions.drain(..) {
                 match action {
                     Action::Request {
@@ -194,104 +195,105 @@
                         source,
                         attempt,
                     } => {
-                        let ask = Ask {
+                        let request = ChunkRequest {
                             backend: self.clone(),
-                            fetching: fetching.clone(),
+                            fetch: fetch.clone(),
                             origin: origin.clone(),
                             manifest: manifest.clone(),
                             chunk,
                             source,
                             attempt,
-                            taken: Cell::new(0),
+                            received_bytes: Cell::new(0),
                         };
-                        asks.start(ask, sender.clone());
+                        requests.start(request, finished_sender.clone());
                     }
                     Action::Cancel {
                         chunk,
                         source,
                         attempt,
                     } => {
-                        asks.drop(attempt);
-                        self.log_stall(&fetching, chunk, source, now);
+                        requests.cancel(attempt);
+                        self.log_stall(&fetch, chunk, source, now);
                     }
                     Action::Complete => {
-                        tracing::info!(event = "version_complete", weights = %fetching.version,
-                            origin_bytes = fetching.origin_bytes.get(),
-                            peer_bytes = fetching.peer_bytes.get());
-                        fetching.complete.replace(Some(manifest));
-                        self.touch();
+                        tracing::info!(event = "version_complete", weights = %fetch.version,
+                            origin_bytes = fetch.origin_bytes.get(),
+                            peer_bytes = fetch.peer_bytes.get());
+                        fetch.complete.replace(Some(manifest));
+                        self.notify_status_changed();
                         return;
                     }
                 }
             }
-            drop(fetching);
-            let next = clock::before(look_at, ended.recv());
-            if let Some(Some(Ended {
+            drop(fetch);
+            let next = clock::before(next_poll_at, finished_receiver.recv());
+            if let Some(Some(FinishedRequest {
                 chunk,
                 attempt,
                 outcome,
             })) = next.await
             {
-                asks.drop(attempt);
-                let Some(fetching) = weak.upgrade() else {
+                requests.cancel(attempt);
+                let Some(fetch) = weak_fetch.upgrade() else {
                     return;
                 };
-                if let Some(machine) = fetching.machine.borrow_mut().as_mut() {
-                    machine.record_outcome(chunk, attempt, outcome, clock::now());
+                if let Some(state) = fetch.state.borrow_mut().as_mut() {
+                    state.record_outcome(chunk, attempt, outcome, clock::now());
                 }
             }
         }
     }
 
-    /// One line for a source that was given up, with what tells a silent source from a lossy link and
-    /// from one question that was forgotten.
-    fn log_stall(&self, fetching: &Fetching, chunk: u32, source: Source, now: Instant) {
-        let heard_at = fetching.heard.borrow().get(&source).copied();
-        let heard_millis_ago = heard_at.map(|at| now.millis_since(at));
-        let link = fetching
+    /// Logs a cancelled request, with data that tells a silent source from a lossy link and from
+    /// one lost request.
+    fn log_stall(&self, fetch: &VersionFetch, chunk: u32, source: Source, now: Instant) {
+        let message_at = fetch.last_message_at.borrow().get(&source).copied();
+        let heard_millis_ago = message_at.map(|at| now.millis_since(at));
+        let link = fetch
             .peer(source)
-            .and_then(|peer| self.held_link(&peer.name));
+            .and_then(|peer| self.existing_link(&peer.name));
         let path = link.map(|link| link.path());
         let (rtt_micros, lost_packets) = path
             .map(|path| (path.rtt.as_micros() as u64, path.lost_packets))
             .unzip();
-        let source = fetching.describe(source);
-        tracing::warn!(event = "source_stalled", weights = %fetching.version, chunk, source,
+        let source = fetch.describe(source);
+        tracing::warn!(event = "source_stalled", weights = %fetch.version, chunk, source,
             heard_millis_ago, rtt_micros, lost_packets);
     }
 
-    /// Takes a new plan where the replicas have changed.
-    fn follow_plan(&self, fetching: &Fetching, manifest: &Manifest) {
-        let basis = Basis {
-            revision: self.process.ledger.revision(),
-            boxes: self.book.generation(),
+    /// Updates the plan if the replicas have changed.
+    fn update_plan(&self, fetch: &VersionFetch, manifest: &Manifest) {
+        let plan_inputs = PlanInputs {
+            revision: self.process.catalogue_state.revision(),
+            directory_generation: self.directory.generation(),
         };
-        if fetching.basis.replace(Some(basis)) == Some(basis) {
+        if fetch.plan_inputs.replace(Some(plan_inputs)) == Some(plan_inputs) {
             return;
         }
-        let replicas = self.replicas(fetching.version);
-        let known = fetching.machine.borrow().is_some();
-        if known && *fetching.replicas.borrow() == replicas {
+        let replicas = self.replicas(fetch.version);
+        let has_state = fetch.state.borrow().is_some();
+        if has_state && *fetch.replicas.borrow() == replicas {
             return;
         }
-        let (plan, me) = self.plan(fetching.version, &replicas);
-        let mut machine = fetching.machine.borrow_mut();
-        match machine.as_mut() {
-            Some(machine) => machine.replan(plan, me),
+        let (plan, own_index) = self.plan(fetch.version, &replicas);
+        let mut state = fetch.state.borrow_mut();
+        match state.as_mut() {
+            Some(state) => state.replan(plan, own_index),
             None => {
-                let count = manifest.chunks.len() as u32;
-                let mut made = Fetch::new(self.fetch_policy(), plan, me, count);
-                let held = manifest.chunks.iter().enumerate();
-                for (index, _) in held.filter(|(_, digest)| self.weights.chunk(**digest).is_some())
+                let chunk_count = manifest.chunks.len() as u32;
+                let mut new_state = Fetch::new(self.fetch_policy(), plan, own_index, chunk_count);
+                let cached = manifest.chunks.iter().enumerate();
+                for (index, _) in
+                    cached.filter(|(_, digest)| self.weights.chunk(**digest).is_some())
                 {
-                    made.record_cached(index as u32);
+                    new_state.record_cached(index as u32);
                 }
-                *machine = Some(made);
+                *state = Some(new_state);
             }
         }
-        // The keys of the old plan mean nothing in the new one.
-        fetching.heard.take();
-        fetching.replicas.replace(replicas);
+        // Keys are valid within one plan only.
+        fetch.last_message_at.take();
+        fetch.replicas.replace(replicas);
     }
 
     fn fetch_policy(&self) -> Policy {
@@ -303,23 +305,26 @@
         }
     }
 
-    /// Boxes that are to hold a version, this one among them, in the order of their names.
+    /// Returns the boxes that are assigned a version, including this one, sorted by name.
     fn replicas(&self, version: Digest) -> Vec<Peer> {
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         let Some(key) = catalogue.version_of_digest(version) else {
             return Vec::new();
         };
-        let names: BTreeSet<&Name> = catalogue.holders(key).map(|held| &held.server).collect();
-        let mut replicas = self.book.boxes_named(&names);
-        let me = &self.process.hello;
-        if !replicas.iter().any(|peer| peer.name == me.name) {
+        let names: BTreeSet<&Name> = catalogue
+            .holders(key)
+            .map(|assignment| &assignment.server)
+            .collect();
+        let mut replicas = self.directory.available_peers(&names);
+        let own = &self.process.hello;
+        if !replicas.iter().any(|peer| peer.name == own.name) {
             replicas.push(Peer {
-                name: me.name.clone(),
-                role: me.role,
-                zone: me.zone.clone(),
-                address: me.address.clone(),
+                name: own.name.clone(),
+                role: own.role,
+                zone: own.zone.clone(),
+                address: own.address.clone(),
                 listing: gingerpier_membership::Listing::Live,
-                incarnation: Some(me.incarnation),
+                incarnation: Some(own.incarnation),
             });
         }
         replicas.sort_by(|a, b| a.name.cmp(&b.name));
@@ -327,9 +332,9 @@
     }
 
     fn plan(&self, version: Digest, replicas: &[Peer]) -> (Plan, ReplicaKey) {
-        let mut points = Vec::with_capacity(replicas.len());
+        let mut plan_replicas = Vec::with_capacity(replicas.len());
         for peer in replicas {
-            points.push(Replica {
+            plan_replicas.push(Replica {
                 identity: order::hash(&peer.name),
                 region: order::hash(&peer.zone.region),
                 zone: order::hash(&peer.zone),
@@ -337,70 +342,79 @@
         }
         let plan = Plan::new(
             order::hash(&version),
-            &points,
+            &plan_replicas,
             self.settings.weights.fan_out,
         );
-        let me = replicas
+        let own_index = replicas
             .iter()
             .position(|peer| peer.name == self.process.hello.name);
-        (plan, ReplicaKey(me.unwrap_or_default() as u32))
+        (plan, ReplicaKey(own_index.unwrap_or_default() as u32))
     }
 
-    /// The manifest comes by the tree of chunk 0, so that the origin gives it once.
-    async fn await_manifest(&self, weak: &Weak<Fetching>, origin: &Origin) -> Option<Rc<Manifest>> {
+    /// Fetches the manifest along the distribution tree of chunk 0, so that the origin sends it
+    /// once.
+    async fn fetch_manifest(
+        &self,
+        weak_fetch: &Weak<VersionFetch>,
+        origin: &Origin,
+    ) -> Option<Rc<Manifest>> {
         loop {
-            let version = weak.upgrade()?.version;
-            if let Some(held) = self.weights.manifest(version) {
-                return Some(held.manifest);
+            let version = weak_fetch.upgrade()?.version;
+            if let Some(cached) = self.weights.manifest(version) {
+                return Some(cached.manifest);
             }
             let replicas = self.replicas(version);
-            let (plan, me) = self.plan(version, &replicas);
+            let (plan, own_index) = self.plan(version, &replicas);
             let mut sources = Vec::new();
-            plan.sources(me, 0, &mut sources);
-            let mut last = None;
-            let mut again_at = clock::now().after_millis(MANIFEST_PAUSE_MILLIS);
+            plan.sources(own_index, 0, &mut sources);
+            let mut last_error = None;
+            let mut retry_at = clock::now().after_millis(MANIFEST_RETRY_MILLIS);
             for source in sources {
-                match self.manifest_from(version, source, &replicas, origin).await {
-                    Ok(held) => {
-                        weak.upgrade()?.trouble.replace(None);
-                        self.weights.put_manifest(version, held.clone());
-                        return Some(held.manifest);
+                match self
+                    .request_manifest(version, source, &replicas, origin)
+                    .await
+                {
+                    Ok(cached) => {
+                        weak_fetch.upgrade()?.error.replace(None);
+                        self.weights.insert_manifest(version, cached.clone());
+                        return Some(cached.manifest);
                     }
-                    Err(Failure::Failed(trouble)) => last = Some(trouble),
+                    Err(Failure::Failed(error)) => last_error = Some(error),
                     Err(Failure::Busy(until)) => {
-                        again_at = until;
-                        last = Some("the origin asks to come back later".to_owned());
+                        retry_at = until;
+                        last_error =
+                            Some("the origin is overloaded and requested a later retry".to_owned());
                     }
                 }
             }
-            weak.upgrade()?.trouble.replace(last);
-            clock::until(again_at).await;
+            weak_fetch.upgrade()?.error.replace(last_error);
+            clock::until(retry_at).await;
         }
     }
 
-    async fn manifest_from(
+    async fn request_manifest(
         &self,
         version: Digest,
         source: Source,
         replicas: &[Peer],
         origin: &Origin,
-    ) -> Result<HeldManifest, Failure> {
+    ) -> Result<CachedManifest, Failure> {
         let (Source::Replica(key) | Source::Holder(key)) = source else {
             let read = origin
                 .client
                 .manifest(&origin.folder, version, clock::now())
                 .await;
             let (manifest, bytes) = read?;
-            return Ok(HeldManifest {
+            return Ok(CachedManifest {
                 manifest: Rc::new(manifest),
                 bytes,
             });
         };
         let peer = replicas
             .get(key.0 as usize)
-            .ok_or_else(|| "the plan has moved on".to_owned())?;
+            .ok_or_else(|| "the peer is not in the current plan".to_owned())?;
         let wait = matches!(source, Source::Replica(_));
-        let link = self.link_to(peer).await?;
+        let link = self.connect_to(peer).await?;
         let mut stream = link.open().await?;
         let bytes = async {
             stream.send(&Request::ManifestOf { version, wait }).await?;
@@ -408,26 +422,27 @@
             loop {
                 match stream.receive::<Reply>().await? {
                     Reply::Pending => {}
-                    Reply::Chunk { length } if length <= LONGEST_MANIFEST => {
+                    Reply::Chunk { length } if length <= MAX_MANIFEST_BYTES => {
                         return stream.receive_exact(length as usize).await.map(Some);
                     }
                     _ => return Ok(None),
                 }
             }
         };
-        let bytes = actix_rt::time::timeout(Duration::from_millis(WAIT_MILLIS), bytes).await;
-        let bytes = bytes.map_err(|_| format!("{} gave no manifest in time", peer.name))?;
+        let bytes = actix_rt::time::timeout(Duration::from_millis(MAX_WAIT_MILLIS), bytes).await;
+        let bytes =
+            bytes.map_err(|_| format!("{} did not send the manifest in time", peer.name))?;
         let bytes = bytes.map_err(|error: gingerpier_link::Error| Failure::from(error))?;
         let bytes = bytes.ok_or_else(|| format!("{} does not have the manifest", peer.name))?;
         let manifest = Manifest::from_bytes(&bytes, version).map_err(|error| error.to_string())?;
-        Ok(HeldManifest {
+        Ok(CachedManifest {
             manifest: Rc::new(manifest),
             bytes: bytes.into(),
         })
     }
 }
 
-impl Fetching {
+impl VersionFetch {
     pub(super) fn peer(&self, source: Source) -> Option<Peer> {
         match source {
             Source::Replica(key) | Source::Holder(key) => {
--- a/crates/gingerpier_daemon/src/backend/mod.rs
+++ b/crates/gingerpier_daemon/src/backend/mod.rs
@@ -1,7 +1,8 @@
-//! A backend server's process: the only door to the engines and plain services of its box.
+//! Daemon of a backend server, which proxies all requests to the engines and plain services of its
+//! box.
 
-pub mod asks;
 pub mod attempts;
+pub mod chunk_requests;
 pub mod engines;
 pub mod fetches;
 pub mod pace;
@@ -10,7 +11,10 @@
 pub mod weights;
 
 use {
-    self::{attempts::Attempts, engines::Slot, pace::Pace, peers::Book, weights::Weights},
+    self::{
+        attempts::Attempts, engines::Upstream, pace::Pacer, peers::PeerDirectory,
+        weights::WeightsCache,
+    },
     crate::{clock, error::Error, process::Process},
     gingerpier_base::{Name, place::Role},
     gingerpier_catalogue::model::Withdrawal,
@@ -20,57 +24,57 @@
     tokio::sync::{Semaphore, watch},
 };
 
-/// Chunks sent to peers at the same time.
-const CHUNKS_AT_ONCE: usize = 2;
-/// Milliseconds between looks at whether all work has ended.
-const DRAIN_LOOK_MILLIS: u64 = 50;
+/// Limit on chunks sent to peers at the same time.
+const MAX_CONCURRENT_CHUNKS: usize = 2;
+/// Interval between checks whether all requests have ended during shutdown.
+const DRAIN_POLL_MILLIS: u64 = 50;
 
-/// State that the subsystems of a backend server share.
+/// State shared by the subsystems of a backend server.
 pub struct Backend {
-    /// What both roles share.
+    /// State common to both roles.
     pub process: Rc<Process>,
-    /// Engines and plain services.
-    pub slots: Vec<Rc<Slot>>,
-    /// Attempts, running and past.
+    /// Engines and plain services of the box.
+    pub upstreams: Vec<Rc<Upstream>>,
+    /// Running and recently finished attempts.
     pub attempts: Attempts,
-    /// Chunks and manifests held.
-    pub weights: Weights,
-    /// Other backend servers.
-    pub book: Book,
-    /// Pace of sending to peers.
-    pub send_pace: Pace,
-    /// Chunks sent at the same time.
-    pub send_turns: Semaphore,
-    /// Pace of receiving weights.
-    pub receive_pace: Pace,
-    /// Settings.
+    /// Cache of chunks and manifests.
+    pub weights: WeightsCache,
+    /// Other backend servers and links to them.
+    pub directory: PeerDirectory,
+    /// Rate limit for weights sent to peers.
+    pub send_pacer: Pacer,
+    /// Limits the number of chunks sent at the same time.
+    pub send_permits: Semaphore,
+    /// Rate limit for received weights.
+    pub receive_pacer: Pacer,
+    /// Settings of this backend server.
     pub settings: Settings,
-    /// True once an entry box has passed on what the key-value service itself confirmed, after
-    /// this process started, and the ledger has reached it.
+    /// True once the catalogue has reached a revision that an entry box read from the key-value
+    /// service after this process started.
     confirmed: Cell<bool>,
-    /// Rises whenever something in the status may have changed.
+    /// Incremented when the reported status may have changed.
     changes: watch::Sender<u64>,
 }
 
 impl Backend {
-    /// Runs a backend server until it is told to stop.
+    /// Runs a backend server until it is stopped.
     ///
     /// # Errors
     ///
-    /// Where it can't start.
+    /// Fails if the server can't start.
     pub async fn run(settings: Settings) -> Result<(), Error> {
         let process = Process::bind(Role::Backend, &settings.identity, settings.peers)?;
         let backend = Rc::new(Self::new(Rc::new(process), settings));
         let process = &backend.process;
-        let metrics = process.install_metrics(backend.settings.metrics)?;
-        process.install_signals();
-        process.install_keys(|_| async {});
-        backend.clone().install_peers();
-        for slot in &backend.slots {
-            backend.clone().install_engine(slot.clone());
+        let metrics = process.spawn_metrics_server(backend.settings.metrics)?;
+        process.spawn_signal_handler();
+        process.spawn_key_watcher(|_| async {});
+        backend.clone().spawn_link_server();
+        for upstream in &backend.upstreams {
+            backend.clone().spawn_engine_supervisor(upstream.clone());
         }
-        backend.clone().install_withdrawal();
-        backend.clone().install_sweeps();
+        backend.clone().spawn_stop_watcher();
+        backend.clone().spawn_expiry();
         let Process { hello, .. } = &**process;
         println!("ready peers={} metrics={metrics}", hello.address);
         tracing::info!(event = "started", role = "backend", name = %hello.name,
@@ -82,77 +86,85 @@
     }
 
     fn new(process: Rc<Process>, settings: Settings) -> Self {
-        let slots = Slot::all(&settings, &process.http);
+        let upstreams = Upstream::all(&settings, &process.http);
         Self {
             attempts: Attempts::new(process.hello.incarnation),
-            weights: Weights::new(settings.weights.chunk_memory.0),
-            book: Book::default(),
-            send_pace: Pace::new(settings.weights.send.0),
-            send_turns: Semaphore::new(CHUNKS_AT_ONCE),
-            receive_pace: Pace::new(settings.weights.receive.0),
+            weights: WeightsCache::new(settings.weights.chunk_memory.0),
+            directory: PeerDirectory::default(),
+            send_pacer: Pacer::new(settings.weights.send.0),
+            send_permits: Semaphore::new(MAX_CONCURRENT_CHUNKS),
+            receive_pacer: Pacer::new(settings.weights.receive.0),
             confirmed: Cell::new(false),
             changes: watch::Sender::new(0),
             process,
-            slots,
+            upstreams,
             settings,
         }
     }
 
-    /// Engine or plain service called `name`.
-    pub fn slot(&self, name: &Name) -> Option<&Rc<Slot>> {
-        self.slots.iter().find(|slot| slot.name == *name)
+    /// Returns the engine or plain service with a name.
+    pub fn upstream(&self, name: &Name) -> Option<&Rc<Upstream>> {
+        self.upstreams
+            .iter()
+            .find(|upstream| upstream.name == *name)
     }
 
-    /// Notes that the status may have changed.
-    pub fn touch(&self) {
+    /// Notifies entry boxes' reports that the status may have changed.
+    pub fn notify_status_changed(&self) {
         self.changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Waits on changes of the status.
-    pub fn changes(&self) -> watch::Receiver<u64> {
+    /// Returns a receiver that is notified when the status may have changed.
+    pub fn status_changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// True once orders may be given on the strength of the ledger.
+    /// Returns true once orders may rely on the current revision without a fence check by the
+    /// engine.
     pub fn is_confirmed(&self) -> bool {
         self.confirmed.get()
     }
 
-    /// Notes that the ledger has reached what the key-value service confirmed.
-    pub fn confirm(&self) {
+    /// Records that the catalogue has reached a revision confirmed by the key-value service.
+    pub fn record_confirmation(&self) {
         if !self.confirmed.replace(true) {
             tracing::info!(
                 event = "confirmed",
-                revision = self.process.ledger.revision().0
+                revision = self.process.catalogue_state.revision().0
             );
-            self.touch();
+            self.notify_status_changed();
         }
     }
 
-    /// True where operators or the box's end allow no new work.
-    pub fn takes_no_work(&self) -> bool {
-        let catalogue = self.process.ledger.catalogue();
+    /// Returns true if this server is shutting down, or operators drain or stop it.
+    pub fn refuses_new_requests(&self) -> bool {
+        let catalogue = self.process.catalogue_state.catalogue();
         self.process.is_leaving() || catalogue.withdrawal(&self.process.hello.name).is_some()
     }
 
-    /// Status as the entry box process `asker` should see it.
-    pub fn status(&self, asker: gingerpier_base::place::Incarnation) -> Status {
+    /// Returns the status to report to the entry box process `entry`, whose own requests aren't
+    /// counted.
+    pub fn status(&self, entry: gingerpier_base::place::Incarnation) -> Status {
         Status {
-            revision: self.process.ledger.revision(),
-            leaving: self.takes_no_work(),
-            engines: self.slots.iter().map(|slot| slot.status(asker)).collect(),
-            chunk_bytes: self.weights.held_bytes(),
+            revision: self.process.catalogue_state.revision(),
+            leaving: self.refuses_new_requests(),
+            engines: self
+                .upstreams
+                .iter()
+                .map(|upstream| upstream.status(entry))
+                .collect(),
+            chunk_bytes: self.weights.cached_bytes(),
             confirmed: self.is_confirmed(),
         }
     }
 
-    /// Leaves when operators command a stop.
-    fn install_withdrawal(self: Rc<Self>) {
+    /// Shuts down when operators stop this server.
+    fn spawn_stop_watcher(self: Rc<Self>) {
         actix_rt::spawn(async move {
-            let mut revisions = self.process.ledger.subscribe();
+            let mut revisions = self.process.catalogue_state.subscribe();
             while revisions.changed().await.is_ok() {
-                self.touch();
-                let catalogue = self.process.ledger.catalogue();
+                self.notify_status_changed();
+                let catalogue = self.process.catalogue_state.catalogue();
                 if catalogue.withdrawal(&self.process.hello.name) == Some(Withdrawal::Stop) {
                     self.process.leave();
                 }
@@ -160,28 +172,31 @@
         });
     }
 
-    fn install_sweeps(self: Rc<Self>) {
-        const SWEEP_MILLIS: u64 = 5_000;
+    fn spawn_expiry(self: Rc<Self>) {
+        const EXPIRY_INTERVAL_MILLIS: u64 = 5_000;
         actix_rt::spawn(async move {
             loop {
-                clock::pause(SWEEP_MILLIS).await;
-                self.attempts.sweep();
+                clock::pause(EXPIRY_INTERVAL_MILLIS).await;
+                self.attempts.remove_expired();
                 self.process
                     .metrics
                     .revision
-                    .set(self.process.ledger.revision().0 as i64);
+                    .set(self.process.catalogue_state.revision().0 as i64);
             }
         });
     }
 
-    /// Waits until all work has ended, or the deadline of a planned stop has passed.
+    /// Waits until all attempts have ended, at most for the configured stop timeout.
     async fn drain(&self) {
-        self.touch();
-        let Millis(patience) = self.settings.stop_patience;
-        let deadline = clock::now().after_millis(patience);
-        while self.attempts.running() > 0 && !deadline.has_passed(clock::now()) {
-            clock::pause(DRAIN_LOOK_MILLIS).await;
+        self.notify_status_changed();
+        let Millis(timeout_millis) = self.settings.stop_patience;
+        let deadline = clock::now().after_millis(timeout_millis);
+        while self.attempts.running_count() > 0 && !deadline.has_passed(clock::now()) {
+            clock::pause(DRAIN_POLL_MILLIS).await;
         }
-        tracing::info!(event = "stopped", broken_off = self.attempts.running());
+        tracing::info!(
+            event = "stopped",
+            broken_off = self.attempts.running_count()
+        );
     }
 }
--- a/crates/gingerpier_daemon/src/backend/pace.rs
+++ b/crates/gingerpier_daemon/src/backend/pace.rs
@@ -1,4 +1,4 @@
-//! Keeps a flow of bytes to a rate, so that other traffic of the box keeps its room.
+//! Limits the rate of a transfer, so that it leaves bandwidth to other traffic of the box.
 
 use {
     crate::clock,
@@ -6,36 +6,39 @@
     std::{cell::Cell, time::Duration},
 };
 
-/// Bytes in one part of a paced flow.
+/// Bytes sent or received at once within a transfer.
 pub const PART_BYTES: usize = 64 << 10;
-/// Microseconds by which a flow may run ahead after a pause.
+/// Time for which an idle transfer may exceed its rate.
 const BURST_MICROS: u64 = 20_000;
 
-/// A flow's rate, and when its link is free again.
-pub struct Pace {
-    bytes_a_second: u64,
-    /// In microseconds of the process's clock.
-    free_at: Cell<u64>,
+/// Rate limiter of a transfer.
+pub struct Pacer {
+    bytes_per_second: u64,
+    /// When all accepted bytes are transferred at the rate; microseconds of the process's clock.
+    busy_until_micros: Cell<u64>,
 }
 
-impl Pace {
-    /// Pace of `bytes_a_second`.
-    pub const fn new(bytes_a_second: u64) -> Self {
+impl Pacer {
+    /// Creates a limiter for a rate in bytes per second.
+    pub const fn new(bytes_per_second: u64) -> Self {
         Self {
-            bytes_a_second,
-            free_at: Cell::new(0),
+            bytes_per_second,
+            busy_until_micros: Cell::new(0),
         }
     }
 
-    /// Waits until `length` more bytes may pass.
-    pub async fn pass(&self, length: usize) {
-        let now = micros(clock::now());
-        let start = self.free_at.get().max(now.saturating_sub(BURST_MICROS));
-        let time = length as u64 * 1_000_000 / self.bytes_a_second.max(1);
-        self.free_at.set(start + time);
-        let wait = (start + time).saturating_sub(now);
-        if wait > 0 {
-            actix_rt::time::sleep(Duration::from_micros(wait)).await;
+    /// Waits until `length` more bytes may be transferred.
+    pub async fn acquire(&self, length: usize) {
+        let now_micros = micros(clock::now());
+        let start_micros = self
+            .busy_until_micros
+            .get()
+            .max(now_micros.saturating_sub(BURST_MICROS));
+        let duration_micros = length as u64 * 1_000_000 / self.bytes_per_second.max(1);
+        self.busy_until_micros.set(start_micros + duration_micros);
+        let wait_micros = (start_micros + duration_micros).saturating_sub(now_micros);
+        if wait_micros > 0 {
+            actix_rt::time::sleep(Duration::from_micros(wait_micros)).await;
         }
     }
 }
--- a/crates/gingerpier_daemon/src/backend/peers.rs
+++ b/crates/gingerpier_daemon/src/backend/peers.rs
@@ -1,8 +1,8 @@
-//! Links at a backend server: what entry boxes and other backend servers ask of it.
+//! Links of a backend server: requests of entry boxes and of other backend servers.
 
 use {
-    super::{Backend, serving::Voice},
-    crate::{clock, ledger::Origin},
+    super::{Backend, serving::LastSent},
+    crate::{catalogue_state::Origin, clock},
     gingerpier_base::{
         Name,
         place::{Incarnation, Role},
@@ -22,28 +22,27 @@
     tokio::sync::Mutex,
 };
 
-/// The longest time between two reports of state, in milliseconds; the link itself tells sooner
-/// that the box is gone.
-const REPORT_MILLIS: u64 = 5_000;
-/// The shortest time between two reports of state, in milliseconds.
-const LEAST_REPORT_MILLIS: u64 = 100;
+/// Interval of status reports without a change.
+const MAX_REPORT_INTERVAL_MILLIS: u64 = 5_000;
+/// Minimum interval between two status reports.
+const MIN_REPORT_INTERVAL_MILLIS: u64 = 100;
 
-/// Other backend servers, and links to them.
+/// Known backend servers and the links to them.
 #[derive(Default)]
-pub struct Book {
+pub struct PeerDirectory {
     boxes: RefCell<BTreeMap<Name, Peer>>,
-    /// What each entry box in reach knows, by its link.
-    lists: RefCell<BTreeMap<usize, Vec<Peer>>>,
-    /// Rises whenever the boxes change.
+    /// Latest list of each connected entry box, by link.
+    peers_by_link: RefCell<BTreeMap<usize, Vec<Peer>>>,
+    /// Incremented when the merged list changes.
     generation: Cell<u64>,
-    /// Links to other backend servers, each locked while it is being made.
+    /// Links to backend servers; the lock is held while a link is being established.
     links: RefCell<BTreeMap<Name, Rc<Mutex<Option<Link>>>>>,
-    this: RefCell<Weak<Backend>>,
+    backend: RefCell<Weak<Backend>>,
 }
 
-impl Book {
-    /// Boxes of `names` that are known and do not leave.
-    pub fn boxes_named(&self, names: &BTreeSet<&Name>) -> Vec<Peer> {
+impl PeerDirectory {
+    /// Returns those of `names` that are known and not leaving.
+    pub fn available_peers(&self, names: &BTreeSet<&Name>) -> Vec<Peer> {
         let boxes = self.boxes.borrow();
         let known = names.iter().filter_map(|name| boxes.get(*name));
         known
@@ -52,40 +51,42 @@
             .collect()
     }
 
-    /// Number that rises whenever the boxes change.
+    /// Returns a number that is incremented when the known servers change.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Takes what an entry box knows of boxes.
+    /// Replaces the list of an entry box.
     ///
-    /// Entry boxes learn of a box at different times, so a box that one of them knows is known;
-    /// that one of them knows it to leave counts too.
-    fn take(&self, link: &Link, peers: &[Peer]) {
-        self.lists.borrow_mut().insert(link.id(), peers.to_vec());
+    /// The lists are merged, as entry boxes discover a server at different times: it is known if
+    /// one list has it, and leaving if one list says so.
+    fn replace_list(&self, link: &Link, peers: &[Peer]) {
+        self.peers_by_link
+            .borrow_mut()
+            .insert(link.id(), peers.to_vec());
         self.merge();
     }
 
-    /// Link to a backend server, where there is one.
+    /// Returns the slot for the link to a backend server.
     fn link(&self, name: &Name) -> Rc<Mutex<Option<Link>>> {
         let mut links = self.links.borrow_mut();
         links.entry(name.clone()).or_default().clone()
     }
 
-    /// Forgets what an entry box told on a link that is down.
-    fn forget(&self, link: &Link) {
-        if self.lists.borrow_mut().remove(&link.id()).is_some() {
+    /// Removes the list of a disconnected entry box.
+    fn remove_list(&self, link: &Link) {
+        if self.peers_by_link.borrow_mut().remove(&link.id()).is_some() {
             self.merge();
         }
     }
 
     fn merge(&self) {
         let mut merged: BTreeMap<Name, Peer> = BTreeMap::new();
-        for peer in self.lists.borrow().values().flatten() {
-            let held = merged
+        for peer in self.peers_by_link.borrow().values().flatten() {
+            let merged_peer = merged
                 .entry(peer.name.clone())
                 .or_insert_with(|| peer.clone());
-            held.listing = held.listing.max(peer.listing);
+            merged_peer.listing = merged_peer.listing.max(peer.listing);
         }
         if *self.boxes.borrow() != merged {
             self.boxes.replace(merged);
@@ -95,9 +96,9 @@
 }
 
 impl Backend {
-    /// Serves links for as long as the process runs.
-    pub fn install_peers(self: Rc<Self>) {
-        self.book.this.replace(Rc::downgrade(&self));
+    /// Spawns the task that accepts links.
+    pub fn spawn_link_server(self: Rc<Self>) {
+        self.directory.backend.replace(Rc::downgrade(&self));
         actix_rt::spawn(async move {
             let backend = self.clone();
             self.process
@@ -106,22 +107,22 @@
         });
     }
 
-    /// This backend, for a task of its own.
-    pub fn strong(&self) -> Option<Rc<Self>> {
-        self.book.this.borrow().upgrade()
+    /// Returns a strong reference for use in a spawned task.
+    pub fn to_rc(&self) -> Option<Rc<Self>> {
+        self.directory.backend.borrow().upgrade()
     }
 
     async fn serve_link(self: Rc<Self>, link: Link) {
-        let voice = Rc::<Voice>::default();
+        let last_sent = Rc::<LastSent>::default();
         while let Ok(stream) = link.accept().await {
             let backend = self.clone();
-            let (link, voice) = (link.clone(), voice.clone());
-            actix_rt::spawn(async move { backend.serve_stream(stream, link, voice).await });
+            let (link, last_sent) = (link.clone(), last_sent.clone());
+            actix_rt::spawn(async move { backend.serve_stream(stream, link, last_sent).await });
         }
-        self.book.forget(&link);
+        self.directory.remove_list(&link);
     }
 
-    async fn serve_stream(&self, mut stream: Stream, link: Link, voice: Rc<Voice>) {
+    async fn serve_stream(&self, mut stream: Stream, link: Link, last_sent: Rc<LastSent>) {
         let request = match stream.receive::<Request>().await {
             Ok(request) => request,
             Err(error) => {
@@ -133,8 +134,8 @@
         let from_entry = link.peer().role == Role::Entry;
         match request {
             Request::Hello(_) => {
-                let served = stream.send(&Reply::Hello(self.process.hello())).await;
-                end(served, stream).await;
+                let result = stream.send(&Reply::Hello(self.process.hello())).await;
+                finish_response(result, stream).await;
             }
             Request::Chunk {
                 version,
@@ -142,82 +143,86 @@
                 offset,
                 wait,
             } => {
-                self.serve_chunk(stream, voice, version, index, offset, wait)
+                self.serve_chunk(stream, last_sent, version, index, offset, wait)
                     .await;
             }
             Request::ManifestOf { version, wait } => {
-                self.serve_manifest(stream, voice, version, wait).await;
+                self.serve_manifest(stream, last_sent, version, wait).await;
             }
             Request::Attempt(attempt) if from_entry => {
                 self.serve_attempt(stream, attempt, &link).await;
             }
             Request::Revoke { key, addressed } if from_entry => {
                 let revoked = self.attempts.revoke(key, addressed);
-                let served = stream.send(&Reply::Revoked(revoked)).await;
-                end(served, stream).await;
+                let result = stream.send(&Reply::Revoked(revoked)).await;
+                finish_response(result, stream).await;
+            }
+            Request::Follow { entry } if from_entry => self.report_status(stream, entry).await,
+            Request::Inform(inform) if from_entry => {
+                self.apply_inform(stream, &inform, &link).await
             }
-            Request::Follow { entry } if from_entry => self.report(stream, entry).await,
-            Request::Inform(inform) if from_entry => self.take_inform(stream, &inform, &link).await,
             _ => {
                 tracing::warn!(event = "request_refused", peer = %link.peer(),
-                    why = "the peer's role may not ask this");
+                    why = "the peer's role does not permit this request");
                 stream.reset();
             }
         }
     }
 
-    async fn take_inform(&self, mut stream: Stream, inform: &Inform, link: &Link) {
-        self.process.ledger.take_inform(inform, Origin::OwnZone);
+    async fn apply_inform(&self, mut stream: Stream, inform: &Inform, link: &Link) {
+        self.process
+            .catalogue_state
+            .apply_inform(inform, Origin::OwnZone);
         if !inform.boxes.is_empty() {
-            self.book.take(link, &inform.boxes);
+            self.directory.replace_list(link, &inform.boxes);
         }
-        let revision = self.process.ledger.revision();
+        let revision = self.process.catalogue_state.revision();
         if inform
             .confirmed
             .is_some_and(|confirmed| revision >= confirmed)
         {
-            self.confirm();
+            self.record_confirmation();
         }
-        let served = stream.send(&Reply::Informed { revision }).await;
-        end(served, stream).await;
+        let result = stream.send(&Reply::Informed { revision }).await;
+        finish_response(result, stream).await;
     }
 
-    /// Reports state at once when it changes, and from time to time when it does not.
-    async fn report(&self, mut stream: Stream, entry: Incarnation) {
-        let mut changes = self.changes();
+    /// Reports the status when it changes, and at a fixed interval otherwise.
+    async fn report_status(&self, mut stream: Stream, entry: Incarnation) {
+        let mut changes = self.status_changes();
         loop {
             changes.mark_unchanged();
             let status = self.status(entry);
             if stream.send(&Reply::Status(status.clone())).await.is_err() {
                 return;
             }
-            clock::pause(LEAST_REPORT_MILLIS).await;
-            let due = clock::now().after_millis(REPORT_MILLIS);
-            while self.status(entry) == status && !due.has_passed(clock::now()) {
-                // A change of no moment is followed by more waiting.
+            clock::pause(MIN_REPORT_INTERVAL_MILLIS).await;
+            let next_report_at = clock::now().after_millis(MAX_REPORT_INTERVAL_MILLIS);
+            while self.status(entry) == status && !next_report_at.has_passed(clock::now()) {
+                // The status may be the same after a notification.
                 let changed = changes.changed();
-                let _ = clock::before(due, changed).await;
+                let _ = clock::before(next_report_at, changed).await;
             }
         }
     }
 
-    /// Link to another backend server, where one was made and nobody makes it anew.
-    pub fn held_link(&self, name: &Name) -> Option<Link> {
-        self.book.link(name).try_lock().ok()?.clone()
+    /// Returns the link to another backend server if it is established.
+    pub fn existing_link(&self, name: &Name) -> Option<Link> {
+        self.directory.link(name).try_lock().ok()?.clone()
     }
 
-    /// Link to another backend server, made where there is none.
+    /// Returns the link to another backend server; establishes it if there is none.
     ///
-    /// Questions that come together wait for one link: a handshake for each of them would keep the
-    /// last ones from being asked for longer than a stall may last.
+    /// Concurrent callers wait for one handshake instead of each starting its own, which would
+    /// delay the last ones beyond the stall deadline.
     ///
     /// # Errors
     ///
-    /// Where it can't be reached.
-    pub async fn link_to(&self, peer: &Peer) -> Result<Link, Error> {
-        let place = self.book.link(&peer.name);
-        let mut held = place.lock().await;
-        if let Some(link) = held.as_ref().filter(|link| !link.is_closed()) {
+    /// Fails if the server can't be reached.
+    pub async fn connect_to(&self, peer: &Peer) -> Result<Link, Error> {
+        let link_slot = self.directory.link(&peer.name);
+        let mut link_guard = link_slot.lock().await;
+        if let Some(link) = link_guard.as_ref().filter(|link| !link.is_closed()) {
             return Ok(link.clone());
         }
         let address = peer.address.parse();
@@ -226,25 +231,25 @@
             role: Role::Backend,
             name: peer.name.clone(),
         };
-        let begun = clock::now();
+        let connect_started_at = clock::now();
         let link = self.process.connect(address, &identity).await?;
-        let took_millis = clock::now().millis_since(begun);
+        let took_millis = clock::now().millis_since(connect_started_at);
         tracing::info!(event = "link_made", peer = %peer.name, took_millis);
-        held.replace(link.clone());
-        // The other end may ask on the same link.
-        if let Some(backend) = self.strong() {
+        link_guard.replace(link.clone());
+        // The peer may send requests on the same link.
+        if let Some(backend) = self.to_rc() {
             actix_rt::spawn(backend.serve_link(link.clone()));
         }
         Ok(link)
     }
 }
 
-/// Ends an answer; waits until the peer has it.
-pub(crate) async fn end(served: Result<(), Error>, mut stream: Stream) {
-    const PATIENCE: Duration = Duration::from_secs(5);
-    if served.is_ok() {
+/// Finishes a response and waits for a limited time until the peer has received it.
+pub(crate) async fn finish_response(result: Result<(), Error>, mut stream: Stream) {
+    const TIMEOUT: Duration = Duration::from_secs(5);
+    if result.is_ok() {
         stream.finish();
-        // A peer that never reads the end loses nothing by our leaving.
-        let _ = actix_rt::time::timeout(PATIENCE, stream.peer_stopped()).await;
+        // A peer that doesn't read the end loses nothing.
+        let _ = actix_rt::time::timeout(TIMEOUT, stream.peer_stopped()).await;
     }
 }
--- a/crates/gingerpier_daemon/src/backend/serving.rs
+++ b/crates/gingerpier_daemon/src/backend/serving.rs
@@ -1,8 +1,8 @@
-//! Chunks and manifests given to peers.
+//! Serves chunks and manifests to peers.
 
 use {
-    super::{Backend, pace::PART_BYTES, weights::Weights},
-    crate::{clock, lateness::Sieve},
+    super::{Backend, pace::PART_BYTES, weights::WeightsCache},
+    crate::{clock, lateness::LogThrottle},
     bytes::Bytes,
     gingerpier_base::{Digest, Instant},
     gingerpier_link::{Error, Stream},
@@ -10,230 +10,243 @@
     std::{cell::Cell, pin::pin, rc::Rc},
 };
 
-/// Milliseconds between words, to a peer or to the fetch here, that a chunk will still come.
-pub(super) const PENDING_MILLIS: u64 = 300;
-/// Milliseconds between words on one link while anything is awaited on it: peers judge this box by all
-/// that it sends them, so what is left of their stall is for a process that does not run. One word for
-/// a link, not for each question, keeps the traffic at 10 small packets a second.
-const LINK_WORD_MILLIS: u64 = 100;
-/// Milliseconds of delay of a word from which it is logged; less is usual on a busy machine.
-const LATE_WORD_MILLIS: u64 = 100;
-/// Milliseconds for which another box's ask is kept waiting.
-pub(super) const WAIT_MILLIS: u64 = 25_000;
-
-/// When the peer of a link was last sent anything on weights.
+/// Interval of `Pending` replies on a request that waits for data.
+pub(super) const PENDING_INTERVAL_MILLIS: u64 = 300;
+/// Interval of `Pending` replies on a link with waiting requests; well below the stall deadline of
+/// peers, which judge this box by all messages on the link.
+const LINK_PENDING_INTERVAL_MILLIS: u64 = 100;
+/// Delay of a `Pending` reply from which it is logged.
+const LOG_DELAY_MILLIS: u64 = 100;
+/// Limit on the time that a peer's request waits for data.
+pub(super) const MAX_WAIT_MILLIS: u64 = 25_000;
+
+/// Time at which data or a `Pending` reply was last sent on a link.
 #[derive(Default)]
-pub(super) struct Voice(Cell<Instant>);
+pub(super) struct LastSent(Cell<Instant>);
 
-/// Milliseconds for which a box waits to hear that it is to hold what a peer asks for: the peer may
-/// have heard before it. A few times what a change takes to all boxes of a zone, and far less than
-/// reading from the origin what the peer would have from here.
-const HEARING_MILLIS: u64 = 1_000;
+/// Time for which a request for a version that isn't assigned here waits, as the peer may have
+/// received the assignment earlier.
+const ASSIGNMENT_DELAY_MILLIS: u64 = 1_000;
 
-/// A peer's question, and when the peer is next told that it is still waited for.
+/// A peer's request that waits for data, with the time of its next `Pending` reply.
 ///
-/// One count goes on through all that a question waits for, so that the peer never waits for a word
-/// twice as long as it should.
-struct Waiting {
+/// One schedule covers all stages of a request, so that no gap between replies exceeds the
+/// interval.
+struct WaitingRequest {
     stream: Stream,
-    voice: Rc<Voice>,
-    asked_at: Instant,
-    tell_at: Instant,
+    last_sent: Rc<LastSent>,
+    received_at: Instant,
+    pending_at: Instant,
 }
 
-impl Waiting {
-    fn new(stream: Stream, voice: Rc<Voice>) -> Self {
-        let asked_at = clock::now();
+impl WaitingRequest {
+    fn new(stream: Stream, last_sent: Rc<LastSent>) -> Self {
+        let received_at = clock::now();
         Self {
             stream,
-            voice,
-            asked_at,
-            tell_at: asked_at.after_millis(PENDING_MILLIS),
+            last_sent,
+            received_at,
+            pending_at: received_at.after_millis(PENDING_INTERVAL_MILLIS),
         }
     }
 
-    /// When a word is due: for this question, or for the link, whichever comes first.
+    /// Returns when the next `Pending` reply is due for this request or for the link.
     fn due(&self) -> Instant {
-        let Voice(said_at) = &*self.voice;
-        let silent_since = said_at.get().max(self.asked_at);
-        self.tell_at
-            .min(silent_since.after_millis(LINK_WORD_MILLIS))
+        let LastSent(sent_at) = &*self.last_sent;
+        let last_sent_at = sent_at.get().max(self.received_at);
+        self.pending_at
+            .min(last_sent_at.after_millis(LINK_PENDING_INTERVAL_MILLIS))
     }
 
-    /// Notes that the peer was sent something on this question.
-    fn said(&mut self) {
+    /// Records that data or a reply was sent on this request.
+    fn record_sent(&mut self) {
         let now = clock::now();
-        self.voice.0.set(now);
-        self.tell_at = now.after_millis(PENDING_MILLIS);
+        self.last_sent.0.set(now);
+        self.pending_at = now.after_millis(PENDING_INTERVAL_MILLIS);
     }
 
-    /// Tells the peer, where that is due, that what it asked for will still come.
-    async fn tell(&mut self) -> Result<(), Error> {
-        let (due, begun) = (self.due(), clock::now());
-        if due.has_passed(begun) {
+    /// Sends a `Pending` reply if one is due.
+    async fn send_pending(&mut self) -> Result<(), Error> {
+        let (due, started_at) = (self.due(), clock::now());
+        if due.has_passed(started_at) {
             self.stream.send(&Reply::Pending).await?;
             let now = clock::now();
-            self.note(begun.millis_since(due), now.millis_since(begun), now);
-            self.said();
+            self.log_delay(
+                started_at.millis_since(due),
+                now.millis_since(started_at),
+                now,
+            );
+            self.record_sent();
         }
         Ok(())
     }
 
-    /// Logs a word that was begun late, or took long to send.
-    fn note(&self, late_millis: u64, sent_millis: u64, now: Instant) {
-        thread_local! { static LINES: Sieve = Sieve::default(); }
-        if late_millis.max(sent_millis) < LATE_WORD_MILLIS {
+    /// Logs a `Pending` reply that was late or took long to send.
+    fn log_delay(&self, late_millis: u64, sent_millis: u64, now: Instant) {
+        thread_local! { static LOG_THROTTLE: LogThrottle = LogThrottle::default(); }
+        if late_millis.max(sent_millis) < LOG_DELAY_MILLIS {
             return;
         }
-        if let Some(left_out) = LINES.with(|lines| lines.pass(now)) {
+        if let Some(left_out) = LOG_THROTTLE.with(|log_throttle| log_throttle.allow(now)) {
             let peer = self.stream.peer();
             tracing::warn!(event = "word_late", %peer, late_millis, sent_millis, left_out);
         }
     }
 
-    /// Output of `work`, where it comes before the peer is to be told.
-    async fn before_word<F: Future>(&self, work: F) -> Option<F::Output> {
+    /// Returns the output of `work` if it completes before the next reply is due.
+    async fn before_pending<F: Future>(&self, work: F) -> Option<F::Output> {
         clock::before(self.due(), work).await
     }
 
-    /// Output of `work`; the peer is told meanwhile that what it asked for will come.
-    async fn until<F: Future>(&mut self, work: F) -> Result<F::Output, Error> {
+    /// Returns the output of `work`; sends `Pending` replies until it completes.
+    async fn keep_alive_until<F: Future>(&mut self, work: F) -> Result<F::Output, Error> {
         let mut work = pin!(work);
         loop {
-            if let Some(output) = self.before_word(&mut work).await {
+            if let Some(output) = self.before_pending(&mut work).await {
                 return Ok(output);
             }
-            self.tell().await?;
+            self.send_pending().await?;
         }
     }
 }
 
 impl Backend {
-    /// Serves a manifest to a peer, which is told to wait while it is on its way here.
+    /// Serves a manifest to a peer; with `wait`, waits for one that is being fetched.
     pub(super) async fn serve_manifest(
         &self,
         stream: Stream,
-        voice: Rc<Voice>,
+        last_sent: Rc<LastSent>,
         version: Digest,
         wait: bool,
     ) {
-        let mut waiting = Waiting::new(stream, voice);
-        let found = match self.weights.manifest(version) {
+        let mut request = WaitingRequest::new(stream, last_sent);
+        let data = match self.weights.manifest(version) {
             None if wait => {
-                self.wait_for(&mut waiting, version, |weights| weights.manifest(version))
+                self.wait_for(&mut request, version, |weights| weights.manifest(version))
                     .await
             }
-            found => found,
+            data => data,
         };
-        let mut stream = waiting.stream;
-        let served = async {
-            let Some(held) = found else {
+        let mut stream = request.stream;
+        let result = async {
+            let Some(cached) = data else {
                 return stream.send(&Reply::NotHeld).await;
             };
             stream
                 .send(&Reply::Chunk {
-                    length: held.bytes.len() as u32,
+                    length: cached.bytes.len() as u32,
                 })
                 .await?;
-            stream.send_held(held.bytes).await
+            stream.send_held(cached.bytes).await
         };
-        finish(served.await, stream).await;
+        finish_response(result.await, stream).await;
     }
 
-    /// Serves a chunk to a peer; with `wait`, the peer is told to wait while the chunk is on its
-    /// way here.
+    /// Serves a chunk from `offset` on to a peer; with `wait`, waits for one that is being fetched.
     pub(super) async fn serve_chunk(
         &self,
         stream: Stream,
-        voice: Rc<Voice>,
+        last_sent: Rc<LastSent>,
         version: Digest,
         index: u32,
         offset: u32,
         wait: bool,
     ) {
-        let held = |weights: &Weights| {
+        let cached = |weights: &WeightsCache| {
             let manifest = weights.manifest(version)?.manifest;
             weights.chunk(*manifest.chunks.get(index as usize)?)
         };
-        let mut waiting = Waiting::new(stream, voice);
-        let found = match held(&self.weights) {
+        let mut request = WaitingRequest::new(stream, last_sent);
+        let data = match cached(&self.weights) {
             None if wait => {
-                if let Some(fetching) = self.weights.fetching(version) {
-                    fetching.want(index);
+                if let Some(fetch) = self.weights.fetch(version) {
+                    fetch.request_ahead(index);
                 }
-                self.wait_for(&mut waiting, version, held).await
+                self.wait_for(&mut request, version, cached).await
             }
-            found => found,
+            data => data,
         };
-        let served = async {
-            let rest = found.filter(|chunk| offset as usize <= chunk.len());
-            let Some(rest) = rest.map(|chunk| chunk.slice(offset as usize..)) else {
-                return waiting.stream.send(&Reply::NotHeld).await;
+        let result = async {
+            let remaining = data.filter(|chunk| offset as usize <= chunk.len());
+            let Some(remaining) = remaining.map(|chunk| chunk.slice(offset as usize..)) else {
+                return request.stream.send(&Reply::NotHeld).await;
             };
-            self.send_paced(&mut waiting, rest).await
+            self.send_paced(&mut request, remaining).await
         };
-        finish(served.await, waiting.stream).await;
+        finish_response(result.await, request.stream).await;
     }
 
-    async fn send_paced(&self, waiting: &mut Waiting, mut rest: Bytes) -> Result<(), Error> {
-        // Whole chunks one after another reach those who wait for them, and pass them on, sooner
-        // than many at once.
-        let _turn = waiting.until(self.send_turns.acquire()).await?;
-        let length = rest.len() as u32;
-        let mut part = rest.split_to(rest.len().min(PART_BYTES));
-        // Words can be said only before the chunk begins, so it begins with its first bytes.
-        waiting.until(self.send_pace.pass(part.len())).await?;
-        waiting.stream.send(&Reply::Chunk { length }).await?;
+    async fn send_paced(
+        &self,
+        request: &mut WaitingRequest,
+        mut remaining: Bytes,
+    ) -> Result<(), Error> {
+        // Few chunks at once complete earlier at the peers, which can then forward them.
+        let _permit = request
+            .keep_alive_until(self.send_permits.acquire())
+            .await?;
+        let length = remaining.len() as u32;
+        let mut part = remaining.split_to(remaining.len().min(PART_BYTES));
+        // No `Pending` reply may follow the `Chunk` header, so the header is sent together with the
+        // first bytes.
+        request
+            .keep_alive_until(self.send_pacer.acquire(part.len()))
+            .await?;
+        request.stream.send(&Reply::Chunk { length }).await?;
         while !part.is_empty() {
-            self.process.metrics.weights_given.inc_by(part.len() as u64);
-            waiting.stream.send_held(part).await?;
-            waiting.said();
-            part = rest.split_to(rest.len().min(PART_BYTES));
-            self.send_pace.pass(part.len()).await;
+            self.process.metrics.weights_sent.inc_by(part.len() as u64);
+            request.stream.send_held(part).await?;
+            request.record_sent();
+            part = remaining.split_to(remaining.len().min(PART_BYTES));
+            self.send_pacer.acquire(part.len()).await;
         }
         Ok(())
     }
 
-    /// True where this box fetches the version, or will as soon as it looks at its engines, or
-    /// has not yet heard of the version that its peer asks for.
-    fn expects(&self, version: Digest) -> bool {
-        let catalogue = self.process.ledger.catalogue();
+    /// Returns true if the version is assigned to this box, or not known here yet.
+    fn is_expected(&self, version: Digest) -> bool {
+        let catalogue = self.process.catalogue_state.catalogue();
         let Some(key) = catalogue.version_of_digest(version) else {
             return true;
         };
         let mut holders = catalogue.holders(key);
-        holders.any(|held| held.server == self.process.hello.name)
+        holders.any(|assignment| assignment.server == self.process.hello.name)
     }
 
-    /// Waits until `look` finds something, as long as this box expects the version itself, or may
-    /// still hear that it is to hold it.
-    async fn wait_for<T, F>(&self, waiting: &mut Waiting, version: Digest, look: F) -> Option<T>
+    /// Waits until `lookup` finds something; gives up if the version isn't expected here, or after
+    /// a limited time.
+    async fn wait_for<T, F>(
+        &self,
+        request: &mut WaitingRequest,
+        version: Digest,
+        lookup: F,
+    ) -> Option<T>
     where
-        F: Fn(&Weights) -> Option<T>,
+        F: Fn(&WeightsCache) -> Option<T>,
     {
         let mut arrivals = self.weights.arrivals();
-        let begun = clock::now();
-        let deadline: Instant = begun.after_millis(WAIT_MILLIS);
-        let heard_by = begun.after_millis(HEARING_MILLIS);
+        let started_at = clock::now();
+        let deadline: Instant = started_at.after_millis(MAX_WAIT_MILLIS);
+        let assigned_by = started_at.after_millis(ASSIGNMENT_DELAY_MILLIS);
         loop {
-            if let Some(found) = look(&self.weights) {
-                return Some(found);
+            if let Some(data) = lookup(&self.weights) {
+                return Some(data);
             }
             let now = clock::now();
-            let is_awaited = self.expects(version) || !heard_by.has_passed(now);
-            if !is_awaited || deadline.has_passed(now) {
+            let may_arrive = self.is_expected(version) || !assigned_by.has_passed(now);
+            if !may_arrive || deadline.has_passed(now) {
                 return None;
             }
-            // Other chunks come all the time; the peer is told by the clock, not by their pauses.
-            waiting.tell().await.ok()?;
-            // Without an arrival, the look is taken all the same.
-            let _ = waiting.before_word(arrivals.changed()).await;
+            // Arrivals of other chunks must not postpone the reply.
+            request.send_pending().await.ok()?;
+            // `lookup` is also repeated without an arrival.
+            let _ = request.before_pending(arrivals.changed()).await;
         }
     }
 }
 
-async fn finish(served: Result<(), Error>, mut stream: Stream) {
-    match served {
+async fn finish_response(result: Result<(), Error>, mut stream: Stream) {
+    match result {
         Ok(()) => {
             stream.finish();
             stream.peer_stopped().await;
--- a/crates/gingerpier_daemon/src/entry/callers.rs
+++ b/crates/gingerpier_daemon/src/entry/callers.rs
@@ -85,7 +85,7 @@
 
 impl Entry {
     /// Serves callers for as long as the process runs.
-    pub fn install_callers(self: Rc<Self>, listener: Listener) {
+    pub fn spawn_caller_server(self: Rc<Self>, listener: Listener) {
         actix_rt::spawn(listener.serve(move |request| {
             let entry = self.clone();
             async move { entry.serve_caller(request).await }
@@ -158,7 +158,7 @@
             .and_then(|value| value.strip_prefix("Bearer "));
         let why = "a client account's token is wanted, as in `Authorization: Bearer TOKEN`";
         let token = token.ok_or_else(|| Refusal::not_run(401, why))?;
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         let account = catalogue.account_of_key(Digest::of(token.as_bytes()));
         account
             .cloned()
@@ -185,7 +185,7 @@
     }
 
     fn list_models(&self, account: &Account) -> Answer {
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         let served = catalogue.models().filter(|(key, model)| {
             catalogue.open_versions(*key).next().is_some()
                 && !self.zones_for(&model.contracts, &account.name).is_empty()
@@ -210,7 +210,7 @@
         let read = self.read_body(&mut request).await?;
         let asked: Asked = serde_json::from_slice(&read)
             .map_err(|error| Refusal::not_run(400, format!("the body: {error}")))?;
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         let model = catalogue.model_named(&asked.model);
         let model = model.map_err(|error| Refusal::not_run(404, error))?;
         if self
--- a/crates/gingerpier_daemon/src/entry/fleet.rs
+++ b/crates/gingerpier_daemon/src/entry/fleet.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Offer {
     /// A version, or an adapter's version, by its manifest.
-    Weights(Digest),
+    WeightsCache(Digest),
     /// A plain service.
     Service(Name),
 }
@@ -200,6 +200,6 @@
             return vec![Offer::Service(self.status.kind.clone())];
         }
         let weights = self.status.weights.iter().chain(&self.status.adapters);
-        weights.map(|digest| Offer::Weights(*digest)).collect()
+        weights.map(|digest| Offer::WeightsCache(*digest)).collect()
     }
 }
--- a/crates/gingerpier_daemon/src/entry/job.rs
+++ b/crates/gingerpier_daemon/src/entry/job.rs
@@ -183,7 +183,7 @@
             }
             Target::Model(key) => *key,
         };
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         let zones = self.zones_for(&catalogue.model(key).contracts, &job.account);
         let mut admitted: Vec<Admitted> = match held {
             Some(held) => vec![held],
@@ -193,7 +193,7 @@
                 .collect(),
         };
         let pools = |admitted: &Admitted| {
-            let offer = Offer::Weights(admitted.adapter.unwrap_or(admitted.weights));
+            let offer = Offer::WeightsCache(admitted.adapter.unwrap_or(admitted.weights));
             self.pools_of(&offer, &zones)
         };
         let mut sets: Vec<Vec<PoolKey>> = admitted.iter().map(pools).collect();
--- a/crates/gingerpier_daemon/src/entry/links.rs
+++ b/crates/gingerpier_daemon/src/entry/links.rs
@@ -58,7 +58,7 @@
     }
 
     /// Notes the revision in force at a box.
-    pub fn note_revision(&self, key: BoxKey, revision: Revision) {
+    pub fn record_revision(&self, key: BoxKey, revision: Revision) {
         let mut revisions = self.revisions.borrow_mut();
         let held = revisions.entry(key).or_default();
         *held = revision.max(*held);
@@ -85,7 +85,7 @@
 
 impl Entry {
     /// Reads the box list and keeps links for as long as the process runs.
-    pub fn install_links(self: Rc<Self>) {
+    pub fn spawn_link_maintenance(self: Rc<Self>) {
         actix_rt::spawn(async move {
             loop {
                 self.read_box_list().await;
@@ -286,7 +286,7 @@
                 self.members.borrow_mut().record_leaving(key, incarnation);
             }
         }
-        self.links.note_revision(key, status.revision);
+        self.links.record_revision(key, status.revision);
         let usable = self.standing(key) == Liveness::Alive && !status.leaving;
         let mut fleet = self.fleet.borrow_mut();
         fleet.take(key, &member.name, &member.zone, &status, usable);
@@ -297,7 +297,7 @@
 
     fn is_stopping(&self, server: &Name) -> bool {
         use gingerpier_catalogue::model::Withdrawal;
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         catalogue.withdrawal(server) == Some(Withdrawal::Stop)
     }
 }
--- a/crates/gingerpier_daemon/src/entry/mod.rs
+++ b/crates/gingerpier_daemon/src/entry/mod.rs
@@ -77,18 +77,18 @@
         let process = Process::bind(Role::Entry, &settings.identity, settings.peers)?;
         let entry = Rc::new(Self::new(Rc::new(process), settings));
         let process = &entry.process;
-        let metrics = process.install_metrics(entry.settings.metrics)?;
-        process.install_signals();
-        entry.clone().install_peers();
-        entry.clone().install_links();
-        entry.clone().install_spreading();
-        entry.clone().install_store();
-        entry.clone().install_planning();
-        entry.clone().install_sweeps();
-        let operators = entry.clone().install_operators().await?;
+        let metrics = process.spawn_metrics_server(entry.settings.metrics)?;
+        process.spawn_signal_handler();
+        entry.clone().spawn_link_server();
+        entry.clone().spawn_link_maintenance();
+        entry.clone().spawn_propagation();
+        entry.clone().spawn_store_tasks();
+        entry.clone().spawn_planner();
+        entry.clone().spawn_expiry();
+        let operators = entry.clone().spawn_operator_server().await?;
         let callers = listen(entry.settings.callers)?;
         let callers_address = callers.address();
-        entry.clone().install_callers(callers);
+        entry.clone().spawn_caller_server(callers);
         println!(
             "ready callers={callers_address} operators={operators} peers={} metrics={metrics}",
             process.hello.address
@@ -133,7 +133,7 @@
         let Some(member) = members.get(key) else {
             return Liveness::Gone;
         };
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         match members.liveness(key, clock::now()) {
             Liveness::Alive if catalogue.withdrawal(&member.name).is_some() => Liveness::Leaving,
             standing => standing,
@@ -198,7 +198,7 @@
         self.process.metrics.in_flight.dec();
     }
 
-    fn install_sweeps(self: Rc<Self>) {
+    fn spawn_expiry(self: Rc<Self>) {
         actix_rt::spawn(async move {
             loop {
                 clock::pause(SWEEP_MILLIS).await;
@@ -206,7 +206,7 @@
                 self.process
                     .metrics
                     .revision
-                    .set(self.process.ledger.revision().0 as i64);
+                    .set(self.process.catalogue_state.revision().0 as i64);
             }
         });
     }
--- a/crates/gingerpier_daemon/src/entry/operators.rs
+++ b/crates/gingerpier_daemon/src/entry/operators.rs
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// Where the address is taken, or the keys do not fit.
-    pub async fn install_operators(self: Rc<Self>) -> Result<SocketAddr, Error> {
+    pub async fn spawn_operator_server(self: Rc<Self>) -> Result<SocketAddr, Error> {
         let listener = listen(self.settings.operators)?;
         let address = listener.address();
         let entry = self.clone();
@@ -45,7 +45,7 @@
         let server = Rc::new(TlsServer::new(handler, tls).await);
         let renewed = server.clone();
         self.process
-            .install_keys(move |credentials: Rc<Credentials>| {
+            .spawn_key_watcher(move |credentials: Rc<Credentials>| {
                 let server = renewed.clone();
                 async move {
                     match credentials.server() {
@@ -83,7 +83,7 @@
             Err(error) => self.refused(error.to_string()),
             Ok(Statement::Show(query)) => match self.answer_query(&query).await {
                 Ok(table) => Answered::Table {
-                    revision: self.process.ledger.revision().0,
+                    revision: self.process.catalogue_state.revision().0,
                     key_value_reachable: self.store.is_reachable(),
                     table,
                 },
@@ -97,7 +97,12 @@
     }
 
     fn try_out(&self, commands: &[Command]) -> Answered {
-        match self.process.ledger.catalogue().try_commands(commands) {
+        match self
+            .process
+            .catalogue_state
+            .catalogue()
+            .try_commands(commands)
+        {
             Ok(next) => Answered::WouldAccept {
                 revision: next.revision().0,
             },
@@ -138,10 +143,10 @@
     }
 
     fn refused(&self, why: String) -> Answered {
-        let last_change = self.process.ledger.last_entry();
+        let last_change = self.process.catalogue_state.last_entry();
         Answered::Refused {
             why,
-            revision: self.process.ledger.revision().0,
+            revision: self.process.catalogue_state.revision().0,
             last_change: last_change.map(|entry| format!("{} by {}", entry.text, entry.author)),
         }
     }
--- a/crates/gingerpier_daemon/src/entry/peers.rs
+++ b/crates/gingerpier_daemon/src/entry/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Entry,
-    crate::{backend::peers::end, clock, ledger::Origin},
+    crate::{backend::peers::finish_response, catalogue_state::Origin, clock},
     gingerpier_base::place::{Role, Zone},
     gingerpier_link::{Link, Stream},
     gingerpier_membership::{BoxKey, Listing},
@@ -12,7 +12,7 @@
 
 impl Entry {
     /// Serves links for as long as the process runs.
-    pub fn install_peers(self: Rc<Self>) {
+    pub fn spawn_link_server(self: Rc<Self>) {
         actix_rt::spawn(async move {
             let entry = self.clone();
             self.process
@@ -60,10 +60,12 @@
             } => {
                 self.claims.borrow_mut().settle(ticket, grant, settlement);
                 Reply::Informed {
-                    revision: self.process.ledger.revision(),
+                    revision: self.process.catalogue_state.revision(),
                 }
             }
-            Request::Sync { revision } => Reply::News(self.process.ledger.since(revision)),
+            Request::Sync { revision } => {
+                Reply::News(self.process.catalogue_state.changes_since(revision))
+            }
             Request::Inform(inform) => {
                 let zone = self.place_of(link).map(|(_, zone)| zone);
                 let own = zone.as_ref() == Some(&self.process.hello.zone);
@@ -72,12 +74,12 @@
                 } else {
                     Origin::OtherZone
                 };
-                self.process.ledger.take_inform(&inform, origin);
-                if self.process.ledger.revision() < inform.revision {
+                self.process.catalogue_state.apply_inform(&inform, origin);
+                if self.process.catalogue_state.revision() < inform.revision {
                     self.fill_gap(link).await;
                 }
                 Reply::Informed {
-                    revision: self.process.ledger.revision(),
+                    revision: self.process.catalogue_state.revision(),
                 }
             }
             _ => {
@@ -86,7 +88,7 @@
             }
         };
         let served = stream.send(&reply).await;
-        end(served, stream).await;
+        finish_response(served, stream).await;
     }
 
     /// A box that greets is met before the box list tells of it.
--- a/crates/gingerpier_daemon/src/entry/planning.rs
+++ b/crates/gingerpier_daemon/src/entry/planning.rs
@@ -39,7 +39,7 @@
 
 impl Entry {
     /// Plans for as long as the process runs, whenever the lease is held here.
-    pub fn install_planning(self: Rc<Self>) {
+    pub fn spawn_planner(self: Rc<Self>) {
         actix_rt::spawn(async move {
             loop {
                 clock::pause(LEASE_MILLIS / 2).await;
@@ -122,7 +122,7 @@
 
     /// Plans once; false where the fence has passed to another.
     async fn plan_once(&self, planner: &mut Planner, fence: Fence) -> bool {
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         let commands = planner.plan(&catalogue, &self.engine_states(), clock::now());
         if commands.is_empty() {
             return true;
--- a/crates/gingerpier_daemon/src/entry/queries.rs
+++ b/crates/gingerpier_daemon/src/entry/queries.rs
@@ -34,7 +34,7 @@
     ///
     /// Says why it can't be answered now.
     pub async fn answer_query(&self, query: &Query) -> Result<Table, String> {
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         let filter = &query.filter;
         Ok(match query.subject {
             Subject::Models => models(&catalogue, filter),
@@ -104,7 +104,7 @@
             let serving = self
                 .fleet
                 .borrow()
-                .serving(&Offer::Weights(version.manifest));
+                .serving(&Offer::WeightsCache(version.manifest));
             let replicas: u32 = model
                 .contracts
                 .iter()
@@ -194,7 +194,7 @@
 
     fn revisions(&self, filter: &Filter) -> Table {
         let mut table = Table::new(&["box", "zone", "revision", "behind_by"]);
-        let latest = self.process.ledger.revision();
+        let latest = self.process.catalogue_state.revision();
         let me = &self.process.hello;
         let own = (me.name.clone(), me.zone.name.clone(), latest);
         let members = self.members.borrow();
--- a/crates/gingerpier_daemon/src/entry/requests.rs
+++ b/crates/gingerpier_daemon/src/entry/requests.rs
@@ -357,7 +357,7 @@
         if !self.passed.event_stream {
             self.lifecycle.disable_resume();
         }
-        let catalogue = self.entry.process.ledger.catalogue();
+        let catalogue = self.entry.process.catalogue_state.catalogue();
         let version = choice
             .admitted
             .map(|admitted| catalogue.label(admitted.version));
@@ -371,7 +371,7 @@
         self.entry
             .process
             .metrics
-            .first_part
+            .time_to_first_part
             .observe(since as f64 / 1e3 - left);
         self.outlet.say(Word::Head {
             status,
--- a/crates/gingerpier_daemon/src/entry/spreading.rs
+++ b/crates/gingerpier_daemon/src/entry/spreading.rs
@@ -9,7 +9,7 @@
 
 use {
     super::Entry,
-    crate::{clock, ledger::Origin},
+    crate::{catalogue_state::Origin, clock},
     gingerpier_base::{
         Name, order,
         place::{Role, Zone},
@@ -37,10 +37,10 @@
 
 impl Entry {
     /// Spreads revisions for as long as the process runs.
-    pub fn install_spreading(self: Rc<Self>) {
+    pub fn spawn_propagation(self: Rc<Self>) {
         let telling = self.clone();
         actix_rt::spawn(async move {
-            let mut revisions = telling.process.ledger.subscribe();
+            let mut revisions = telling.process.catalogue_state.subscribe();
             while revisions.changed().await.is_ok() {
                 telling.clone().tell_entries();
             }
@@ -64,8 +64,8 @@
                     .push((key, member.name.clone()));
             }
         }
-        let origin = self.process.ledger.origin();
-        let revision = self.process.ledger.revision();
+        let origin = self.process.catalogue_state.origin();
+        let revision = self.process.catalogue_state.revision();
         for (zone, mut members) in others {
             let most = match (origin, zone == *own_zone) {
                 (Origin::KeyValue | Origin::OtherZone, true) => usize::MAX,
@@ -85,23 +85,27 @@
             return;
         };
         let known = self.links.revision(key);
-        if known >= self.process.ledger.revision() {
+        if known >= self.process.catalogue_state.revision() {
             return;
         }
         // What the other knows is not known for sure; a gap makes it ask.
         let known = if known.0 == 0 {
-            Revision(self.process.ledger.revision().0 - 1)
+            Revision(self.process.catalogue_state.revision().0 - 1)
         } else {
             known
         };
-        self.tell(key, &link, self.process.ledger.since(known))
-            .await;
+        self.tell(
+            key,
+            &link,
+            self.process.catalogue_state.changes_since(known),
+        )
+        .await;
     }
 
     /// Sends what a process lacks, and notes the revision that it has then.
     pub async fn tell(&self, key: BoxKey, link: &Link, inform: Inform) {
         match actix_rt::time::timeout(PATIENCE, inform_over(link, &inform)).await {
-            Ok(Ok(revision)) => self.links.note_revision(key, revision),
+            Ok(Ok(revision)) => self.links.record_revision(key, revision),
             Ok(Err(error)) => tracing::debug!(event = "inform_lost", %error),
             Err(_) => tracing::debug!(event = "inform_slow", peer = %link.peer()),
         }
@@ -132,7 +136,7 @@
         let Some(link) = self.links.get(key) else {
             return;
         };
-        let revision = self.process.ledger.revision();
+        let revision = self.process.catalogue_state.revision();
         let asked = async {
             let mut stream = link.open().await?;
             stream.send(&Request::Sync { revision }).await?;
@@ -147,8 +151,8 @@
                 } else {
                     Origin::OtherZone
                 };
-                self.process.ledger.take_inform(&inform, origin);
-                self.links.note_revision(key, inform.revision);
+                self.process.catalogue_state.apply_inform(&inform, origin);
+                self.links.record_revision(key, inform.revision);
             }
             Ok(Ok(other)) => tracing::warn!(event = "sync_refused", answer = ?other),
             Ok(Err(error)) => tracing::debug!(event = "sync_lost", %error),
@@ -158,7 +162,7 @@
 
     /// Keeps a backend server informed until its link is down.
     pub async fn inform_server(self: Rc<Self>, key: BoxKey, name: Name, link: Link) {
-        let mut revisions = self.process.ledger.subscribe();
+        let mut revisions = self.process.catalogue_state.subscribe();
         let mut boxes = self.box_changes.subscribe();
         let mut told_boxes = Vec::new();
         while !link.is_closed() {
@@ -184,7 +188,7 @@
             return;
         };
         let peers = self.server_peers();
-        let behind = self.links.revision(key) < self.process.ledger.revision();
+        let behind = self.links.revision(key) < self.process.catalogue_state.revision();
         let confirmed = if status.confirmed {
             None
         } else {
@@ -194,7 +198,10 @@
         if !behind && !new_boxes && confirmed.is_none() {
             return;
         }
-        let mut inform = self.process.ledger.since(self.links.revision(key));
+        let mut inform = self
+            .process
+            .catalogue_state
+            .changes_since(self.links.revision(key));
         inform.confirmed = confirmed;
         if new_boxes {
             inform.boxes.clone_from(&peers);
--- a/crates/gingerpier_daemon/src/entry/store.rs
+++ b/crates/gingerpier_daemon/src/entry/store.rs
@@ -6,7 +6,7 @@
 
 use {
     super::Entry,
-    crate::{clock, ledger::Origin},
+    crate::{catalogue_state::Origin, clock},
     awc::Client as Http,
     gingerpier_base::order,
     gingerpier_catalogue::{
@@ -161,7 +161,7 @@
 
 impl Entry {
     /// Watches, and gets changes accepted, for as long as the process runs.
-    pub fn install_store(self: Rc<Self>) {
+    pub fn spawn_store_tasks(self: Rc<Self>) {
         let queued = self.store.queued.borrow_mut().take();
         let Some(queued) = queued else { return };
         actix_rt::spawn(self.clone().accept_changes(queued));
@@ -201,14 +201,14 @@
     /// Reads the head, and brings the ledger up to it.
     async fn refresh(&self) -> Result<Stand, Error> {
         let stand = self.read_head().await?;
-        if stand.revision > self.process.ledger.revision() {
+        if stand.revision > self.process.catalogue_state.revision() {
             self.read_records().await?;
         }
-        if stand.revision > self.process.ledger.revision() {
+        if stand.revision > self.process.catalogue_state.revision() {
             self.read_snapshot().await?;
             self.read_records().await?;
         }
-        if stand.revision > self.process.ledger.revision() {
+        if stand.revision > self.process.catalogue_state.revision() {
             let key = self.store.key("record/");
             let fault = Fault::Unreadable(format!("records up to {} are missing", stand.revision));
             return Err(Error::new(gingerpier_services::Step::ReadKey, &key, fault));
@@ -235,14 +235,16 @@
     async fn read_records(&self) -> Result<(), Error> {
         let range = self
             .store
-            .records_from(self.process.ledger.revision().next());
+            .records_from(self.process.catalogue_state.revision().next());
         self.process.metrics.key_value_calls.inc();
         let items = self
             .store
             .note(self.store.client.range(&range, clock::now()).await)?;
         for item in &items {
             let record: Record = decode(item)?;
-            self.process.ledger.take_record(&record, Origin::KeyValue);
+            self.process
+                .catalogue_state
+                .apply_record(&record, Origin::KeyValue);
         }
         Ok(())
     }
@@ -255,8 +257,8 @@
             .note(self.store.client.get(&key, clock::now()).await)?;
         if let Some(item) = read {
             self.process
-                .ledger
-                .take_snapshot(&item.value, Origin::KeyValue);
+                .catalogue_state
+                .install_snapshot(&item.value, Origin::KeyValue);
         }
         Ok(())
     }
@@ -269,7 +271,7 @@
     pub async fn read_audit(&self, last: u32) -> Result<Vec<Record>, Error> {
         let first = self
             .process
-            .ledger
+            .catalogue_state
             .revision()
             .0
             .saturating_sub(u64::from(last))
@@ -397,7 +399,7 @@
 
     /// Answers those of a batch that the catalogue shows to be accepted.
     fn answer_repeats(&self, batch: &mut Vec<Pending>) {
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         let mut rest = Vec::with_capacity(batch.len());
         for pending in batch.drain(..) {
             match catalogue.accepted(pending.entry.identity) {
@@ -415,7 +417,7 @@
     }
 
     async fn write(&self, batch: &mut Vec<Pending>, stand: Stand) -> Result<Event, Error> {
-        let catalogue = self.process.ledger.catalogue();
+        let catalogue = self.process.catalogue_state.catalogue();
         if catalogue.revision() != stand.revision {
             // The ledger has heard of a later revision from a peer meanwhile.
             return Ok(Event::Moved);
@@ -439,7 +441,9 @@
             }
             return Ok(Event::Moved);
         }
-        self.process.ledger.take_record(&record, Origin::KeyValue);
+        self.process
+            .catalogue_state
+            .apply_record(&record, Origin::KeyValue);
         for pending in batch.drain(..) {
             decide(
                 pending,
--- a/crates/gingerpier_daemon/src/error.rs
+++ b/crates/gingerpier_daemon/src/error.rs
@@ -1,49 +1,49 @@
-//! Why a daemon does not start, or ends.
+//! Errors that keep a daemon from starting, or end it.
 
 use {displaydoc::Display, std::path::PathBuf};
 
-/// A failure of the whole process.
+/// Error of the whole process.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// reading {path}: {what}
+    /// reading {path}: {cause}
     ReadSettings {
-        /// File.
+        /// Settings file.
         path: PathBuf,
-        /// What happened.
-        what: std::io::Error,
+        /// Cause.
+        cause: std::io::Error,
     },
-    /// {path} has mistakes:
+    /// {path} has errors:
     /// {problems}
     Settings {
-        /// File.
+        /// Settings file.
         path: PathBuf,
-        /// Mistakes.
+        /// All errors found.
         problems: gingerpier_settings::Problems,
     },
-    /// {path} is for an operator's desk; a daemon's role is entry or backend
+    /// {path} is for an operator's client; the role of a daemon is entry or backend
     Role {
-        /// File.
+        /// Settings file.
         path: PathBuf,
     },
-    /// the keys in {keys} are for {found}, and the settings are for {wanted}
+    /// the certificate in {keys} is issued for {actual}, but the settings name {expected}
     Identity {
-        /// Folder of keys.
+        /// Directory of keys and certificates.
         keys: PathBuf,
-        /// Whom they are for.
-        found: String,
-        /// Whom the settings are for.
-        wanted: String,
+        /// Identity in the certificate.
+        actual: String,
+        /// Identity in the settings.
+        expected: String,
     },
     /// {0}
     Hosted(gingerpier_gateway::error::Error),
     /// {0}
     Link(gingerpier_link::Error),
-    /// listening on {address}: {what}
+    /// listening on {address}: {cause}
     Listen {
         /// Address.
         address: std::net::SocketAddr,
-        /// What happened.
-        what: std::io::Error,
+        /// Cause.
+        cause: std::io::Error,
     },
 }
 
--- a/crates/gingerpier_daemon/src/lateness.rs
+++ b/crates/gingerpier_daemon/src/lateness.rs
@@ -1,8 +1,7 @@
-//! How late the thread of this process gets to its work, and what kept it.
+//! Measures delays of the process's only thread and logs their cause.
 //!
-//! All work of a process is done by one thread, so whatever holds it up silences the box for all its
-//! peers at once. A task takes short turns; where one is late, the system's count of the thread's
-//! time tells the causes apart: it worked, it waited for a processor, or a call did not return.
+//! A delay of this thread delays all responses to peers. The kernel's scheduling statistics tell
+//! whether the thread was running, waiting for a processor or blocked in a call.
 
 use {
     crate::{clock, metrics::Metrics},
@@ -10,87 +9,90 @@
     std::{cell::RefCell, fs, rc::Rc, time::Duration},
 };
 
-/// Milliseconds between two turns: a fifth of the least time that a peer waits for a word.
-const TURN_MILLIS: u64 = 50;
-/// Milliseconds of delay from which a line is logged; less is usual on a busy machine.
-const LOGGED_MILLIS: u64 = 100;
-/// Milliseconds between two lines about one thing, so that a slow machine is not slowed by them.
-const LINE_EVERY_MILLIS: u64 = 500;
-/// The system's count of this thread: nanoseconds on a processor and nanoseconds waiting for one.
-const THREAD_COUNT: &str = "/proc/thread-self/schedstat";
+/// Interval between measurements; short against the time after which peers consider a box stalled.
+const INTERVAL_MILLIS: u64 = 50;
+/// Delay from which a warning is logged.
+const LOG_DELAY_MILLIS: u64 = 100;
+/// Minimum interval between two log lines of one throttle.
+const LOG_INTERVAL_MILLIS: u64 = 500;
+/// Kernel statistics of this thread: nanoseconds on a processor, then nanoseconds in the run queue.
+const SCHEDSTAT_PATH: &str = "/proc/thread-self/schedstat";
 
-/// Lets one line through in [`LINE_EVERY_MILLIS`], and counts the others.
+/// Limits a log message to one line per [`LOG_INTERVAL_MILLIS`] and counts the suppressed ones.
 #[derive(Debug, Default)]
-pub struct Sieve(RefCell<Passed>);
+pub struct LogThrottle(RefCell<ThrottleState>);
 
 #[derive(Debug, Default)]
-struct Passed {
-    next_at: Instant,
-    left_out: u64,
+struct ThrottleState {
+    next_line_at: Instant,
+    suppressed: u64,
 }
 
-impl Sieve {
-    /// Lines left out since the last one, where one more may be written.
-    pub fn pass(&self, now: Instant) -> Option<u64> {
-        let mut passed = self.0.borrow_mut();
-        if !passed.next_at.has_passed(now) {
-            passed.left_out += 1;
+impl LogThrottle {
+    /// Returns how many lines were suppressed since the last one if another may be logged now, or
+    /// `None` and counts it as suppressed.
+    pub fn allow(&self, now: Instant) -> Option<u64> {
+        let mut state = self.0.borrow_mut();
+        if !state.next_line_at.has_passed(now) {
+            state.suppressed += 1;
             return None;
         }
-        passed.next_at = now.after_millis(LINE_EVERY_MILLIS);
-        Some(std::mem::take(&mut passed.left_out))
+        state.next_line_at = now.after_millis(LOG_INTERVAL_MILLIS);
+        Some(std::mem::take(&mut state.suppressed))
     }
 }
 
-/// Time of this thread.
+/// Scheduling times of this thread since it started.
 #[derive(Debug, Clone, Copy, Default)]
-struct Count {
-    worked: Duration,
-    queued: Duration,
+struct ThreadTimes {
+    running: Duration,
+    runnable: Duration,
 }
 
-impl Count {
-    /// Zero on systems that keep no such count.
+impl ThreadTimes {
+    /// Returns zeros if the system has no scheduling statistics.
     fn read() -> Self {
-        let text = fs::read_to_string(THREAD_COUNT).unwrap_or_default();
-        let mut numbers = text.split_whitespace().map_while(|word| word.parse().ok());
-        let mut next = || Duration::from_nanos(numbers.next().unwrap_or_default());
+        let text = fs::read_to_string(SCHEDSTAT_PATH).unwrap_or_default();
+        let mut numbers = text
+            .split_whitespace()
+            .map_while(|field| field.parse().ok());
+        let mut next_duration = || Duration::from_nanos(numbers.next().unwrap_or_default());
         Self {
-            worked: next(),
-            queued: next(),
+            running: next_duration(),
+            runnable: next_duration(),
         }
     }
 
     fn since(self, earlier: Self) -> Self {
         Self {
-            worked: self.worked.saturating_sub(earlier.worked),
-            queued: self.queued.saturating_sub(earlier.queued),
+            running: self.running.saturating_sub(earlier.running),
+            runnable: self.runnable.saturating_sub(earlier.runnable),
         }
     }
 }
 
-/// Watches the thread that it is called on, for as long as the process runs.
-pub async fn watch(metrics: Rc<Metrics>) {
-    let sieve = Sieve::default();
+/// Measures the delay of timers on the calling thread until the future is dropped.
+pub async fn monitor(metrics: Rc<Metrics>) {
+    let log_throttle = LogThrottle::default();
     loop {
-        let before = Count::read();
-        let due = clock::now().after_millis(TURN_MILLIS);
-        clock::pause(TURN_MILLIS).await;
+        let before = ThreadTimes::read();
+        let due = clock::now().after_millis(INTERVAL_MILLIS);
+        clock::pause(INTERVAL_MILLIS).await;
         let now = clock::now();
         let late_millis = now.millis_since(due);
-        metrics.turn_delay.observe(late_millis as f64 / 1_000.0);
-        if late_millis < LOGGED_MILLIS {
+        metrics.timer_delay.observe(late_millis as f64 / 1_000.0);
+        if late_millis < LOG_DELAY_MILLIS {
             continue;
         }
-        if let Some(left_out) = sieve.pass(now) {
-            let Count { worked, queued } = Count::read().since(before);
-            let known_millis = (worked + queued).as_millis() as u64;
+        if let Some(left_out) = log_throttle.allow(now) {
+            let ThreadTimes { running, runnable } = ThreadTimes::read().since(before);
+            let accounted_millis = (running + runnable).as_millis() as u64;
             tracing::warn!(
                 event = "process_late",
                 late_millis,
-                worked_millis = worked.as_millis() as u64,
-                queued_millis = queued.as_millis() as u64,
-                blocked_millis = late_millis.saturating_sub(known_millis),
+                worked_millis = running.as_millis() as u64,
+                queued_millis = runnable.as_millis() as u64,
+                blocked_millis = late_millis.saturating_sub(accounted_millis),
                 left_out
             );
         }
--- a/crates/gingerpier_daemon/src/lib.rs
+++ b/crates/gingerpier_daemon/src/lib.rs
@@ -1,8 +1,8 @@
 //! The daemon of entry boxes and backend servers.
 //!
-//! Everything decided here is decided by the sans-I/O crates; this crate carries bytes, timers
-//! and signals between them and the world. Each subsystem is one type that installs itself:
-//! it starts its tasks on the process's only thread and shares the process's state.
+//! Decisions are made by crates without I/O; this crate runs their connections, timers and
+//! signals. Each subsystem spawns its tasks on the process's only thread and shares the
+//! process's state.
 //!
 //! ```no_run
 //! # fn main() -> Result<(), gingerpier_daemon::error::Error> {
@@ -13,10 +13,10 @@
 //! ```
 
 pub mod backend;
+pub mod catalogue_state;
 pub mod entry;
 pub mod error;
 pub mod lateness;
-pub mod ledger;
 pub mod log;
 pub mod metrics;
 pub mod operate;
--- a/crates/gingerpier_daemon/src/metrics.rs
+++ b/crates/gingerpier_daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a process, in the OpenMetrics text form, with their units in their names.
+//! Metrics of a process in the OpenMetrics text format.
 
 use {
     gingerpier_http::{Listener, answer},
@@ -10,13 +10,14 @@
     std::rc::Rc,
 };
 
-/// Bounds of the time to an answer's first part, in seconds.
-const FIRST_PART_BOUNDS: [f64; 10] = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0];
+/// Histogram bounds in seconds.
+const FIRST_PART_BOUNDS_SECONDS: [f64; 10] =
+    [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0];
 
-/// Bounds of the delay of the thread's turns, in seconds: from a usual one to one that outlasts a stall.
-const DELAY_BOUNDS: [f64; 8] = [0.002, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0];
+/// Histogram bounds in seconds, up to delays longer than the stall deadline of a transfer.
+const DELAY_BOUNDS_SECONDS: [f64; 8] = [0.002, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0];
 
-/// How a request ended.
+/// Labels of a finished request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabel {
     /// `answered`, `not_run`, `unknown` or `broken_off`.
@@ -25,68 +26,69 @@
     pub account: String,
 }
 
-/// Where bytes of weights came from.
+/// Label of the source of weights.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct SourceLabel {
     /// `origin`, `own_zone` or `other_zone`.
     pub source: String,
 }
 
-/// A box that did wrong.
+/// Label of a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PeerLabel {
-    /// Its name.
+    /// Name of a box, or `origin`.
     pub peer: String,
 }
 
-/// Metrics of one process; those of the other role stay at zero.
+/// Metrics of one process; metrics of the other role stay zero.
 pub struct Metrics {
     registry: Registry,
-    /// Requests ended.
+    /// Finished requests.
     pub requests: Family<OutcomeLabel, Counter>,
-    /// Attempts sent again.
+    /// Attempts after the first of a request.
     pub retries: Counter,
-    /// Seconds to an answer's first part.
-    pub first_part: Histogram,
-    /// Requests in flight.
+    /// Seconds from a request to the first part of its response.
+    pub time_to_first_part: Histogram,
+    /// Requests in progress.
     pub in_flight: Gauge,
-    /// Revision in force.
+    /// Current revision of the catalogue.
     pub revision: Gauge,
-    /// Bytes of weights taken.
-    pub weights_taken: Family<SourceLabel, Counter>,
-    /// Bytes of weights given to peers.
-    pub weights_given: Counter,
-    /// Chunks that came wrong.
+    /// Bytes of weights received.
+    pub weights_received: Family<SourceLabel, Counter>,
+    /// Bytes of weights sent to peers.
+    pub weights_sent: Counter,
+    /// Received chunks that don't match their digest.
     pub chunks_corrupt: Family<PeerLabel, Counter>,
-    /// Orders refused for a stale fence, or not given for want of a confirmed one.
+    /// Orders to engines withheld because of a newer fence at the engine, or an unconfirmed
+    /// revision.
     pub orders_withheld: Counter,
     /// Calls of the key-value service.
     pub key_value_calls: Counter,
-    /// Seconds by which turns of the process's one thread were late.
-    pub turn_delay: Histogram,
-    /// Bytes sent on links, with all that the transport adds.
+    /// Seconds by which timers fired late.
+    pub timer_delay: Histogram,
+    /// Bytes sent on links, with transport overhead.
     pub link_sent: Gauge,
-    /// Bytes received on links, with all that the transport adds.
+    /// Bytes received on links, with transport overhead.
     pub link_received: Gauge,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("gingerpier");
-        let first_part = Histogram::new(FIRST_PART_BOUNDS);
+        let time_to_first_part = Histogram::new(FIRST_PART_BOUNDS_SECONDS);
         let mut metrics = Self {
             registry: Registry::default(),
             requests: Family::default(),
             retries: Counter::default(),
-            first_part,
+            time_to_first_part,
             in_flight: Gauge::default(),
             revision: Gauge::default(),
-            weights_taken: Family::default(),
-            weights_given: Counter::default(),
+            weights_received: Family::default(),
+            weights_sent: Counter::default(),
             chunks_corrupt: Family::default(),
             orders_withheld: Counter::default(),
             key_value_calls: Counter::default(),
-            turn_delay: Histogram::new(DELAY_BOUNDS),
+            timer_delay: Histogram::new(DELAY_BOUNDS_SECONDS),
             link_sent: Gauge::default(),
             link_received: Gauge::default(),
         };
@@ -108,7 +110,7 @@
             "first_part",
             "Time to an answer's first part",
             Unit::Seconds,
-            self.first_part.clone(),
+            self.time_to_first_part.clone(),
         );
         registry.register(
             "in_flight_requests",
@@ -120,13 +122,13 @@
             "weights_taken",
             "Weights taken, by source",
             Unit::Bytes,
-            self.weights_taken.clone(),
+            self.weights_received.clone(),
         );
         registry.register_with_unit(
             "weights_given",
             "Weights given to peers",
             Unit::Bytes,
-            self.weights_given.clone(),
+            self.weights_sent.clone(),
         );
         registry.register_with_unit(
             "link_sent",
@@ -144,7 +146,7 @@
             "turn_delay",
             "Time by which turns of the process's thread were late",
             Unit::Seconds,
-            self.turn_delay.clone(),
+            self.timer_delay.clone(),
         );
         registry.register(
             "chunks_corrupt",
@@ -163,7 +165,7 @@
         );
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
--- a/crates/gingerpier_daemon/src/operate.rs
+++ b/crates/gingerpier_daemon/src/operate.rs
@@ -1,70 +1,69 @@
-//! What an operator's command line and an entry box say to each other: JSON over HTTPS.
+//! API between operators' command line and entry boxes: JSON over HTTPS.
 
 use {
     crate::table::Table,
     serde::{Deserialize, Serialize},
 };
 
-/// Path for statements.
+/// Path that accepts statements by POST.
 pub const PATH: &str = "/v1/operate";
 
-/// A statement to be carried out.
+/// Request with a statement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Asked {
-    /// Identity of the request, in 32 hexadecimal digits; the same over retries.
+    /// Request identity, 32 hexadecimal digits; equal for retries of one request.
     pub identity: String,
-    /// Statement, in the operators' language.
+    /// Statement in the operators' language.
     pub text: String,
-    /// Milliseconds to wait until it is in force everywhere that can be reached.
+    /// Time to wait until every reachable box has the resulting revision.
     #[serde(default)]
     pub wait_millis: u64,
 }
 
-/// What became of it.
+/// Response to a statement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Answered {
-    /// Answer to a query.
+    /// Result of a query.
     Table {
-        /// Revision in force at the entry box.
+        /// Current revision of the entry box.
         revision: u64,
-        /// False while the entry box can't reach the key-value service.
+        /// False if the entry box's last call of the key-value service failed.
         key_value_reachable: bool,
-        /// The answer.
+        /// Rows of the result.
         table: Table,
     },
     /// The commands were accepted.
     Accepted {
-        /// Revision that they made.
+        /// Revision that contains them.
         revision: u64,
-        /// True where they had been accepted before, under the same identity.
+        /// True if an earlier request with the same identity was accepted.
         repeated: bool,
-        /// Boxes that are known not to have the revision in force yet.
+        /// Names of boxes that don't have the revision yet.
         behind: Vec<String>,
     },
-    /// The commands would be accepted.
+    /// A dry run succeeded.
     WouldAccept {
-        /// Revision that they would make.
+        /// Revision that the commands would create.
         revision: u64,
     },
-    /// The commands were refused, and have no effect.
+    /// The commands were refused and have no effect.
     Refused {
-        /// Why, and what to do.
+        /// Reason, with a remedy where there is one.
         why: String,
-        /// Revision in force.
+        /// Current revision.
         revision: u64,
-        /// Latest change, by whom.
+        /// Latest change with its author.
         last_change: Option<String>,
     },
-    /// The key-value service can't be reached; nothing was accepted.
+    /// The key-value service is unreachable; nothing was accepted.
     Unavailable {
-        /// Why.
+        /// Reason.
         why: String,
     },
-    /// Whether the commands were accepted can't be found out now: ask again with the same
-    /// identity.
+    /// The result of the write is unknown; a retry with the same identity is safe.
     Unknown {
-        /// Why.
+        /// Reason.
         why: String,
     },
 }
--- a/crates/gingerpier_daemon/src/process.rs
+++ b/crates/gingerpier_daemon/src/process.rs
@@ -1,11 +1,12 @@
-//! What both roles share: identity, keys, link endpoint, leaving.
+//! State and tasks that entry boxes and backend servers share: identity, keys, link endpoint,
+//! shutdown.
 
 use {
-    crate::{clock, error::Error, lateness, ledger::Ledger, metrics::Metrics},
+    crate::{catalogue_state::CatalogueState, clock, error::Error, lateness, metrics::Metrics},
     actix_rt::signal::unix::{SignalKind, signal},
     gingerpier_base::place::{Incarnation, Role},
     gingerpier_http::Listener,
-    gingerpier_link::{Credentials, Endpoint, Identity as Named, Incoming, Link, Traffic},
+    gingerpier_link::{Credentials, Endpoint, Identity as PeerIdentity, Incoming, Link, Traffic},
     gingerpier_settings::entry::Identity,
     gingerpier_wire::frame::Hello,
     std::{
@@ -18,40 +19,39 @@
     tokio::sync::{Semaphore, watch},
 };
 
-/// Milliseconds between counts of the links' bytes.
-const TRAFFIC_MILLIS: u64 = 500;
-/// Milliseconds between looks at the files of keys.
-const KEYS_MILLIS: u64 = 1_000;
-/// Handshakes with peers at once: what peers that never end theirs may take of the memory. Far more
-/// than boxes that come back together.
-const HANDSHAKES_AT_ONCE: usize = 1_024;
+/// Interval between updates of the link traffic metrics.
+const TRAFFIC_INTERVAL_MILLIS: u64 = 500;
+/// Interval between checks of the key files for changes.
+const KEY_POLL_INTERVAL_MILLIS: u64 = 1_000;
+/// Limit on concurrent handshakes; bounds the memory that unfinished ones use.
+const MAX_CONCURRENT_HANDSHAKES: usize = 1_024;
 
-/// One run of one daemon.
+/// State of a running daemon, shared by its subsystems.
 pub struct Process {
-    /// Who it is.
+    /// Name, role, zone, incarnation and address, as announced to peers.
     pub hello: Hello,
-    /// Catalogue in force.
-    pub ledger: Ledger,
-    /// Metrics.
+    /// Latest known catalogue.
+    pub catalogue_state: CatalogueState,
+    /// Metrics, served over HTTP.
     pub metrics: Rc<Metrics>,
-    /// HTTP client for all edges.
+    /// Client for engines, the key-value service, the box list and the weight origin.
     pub http: awc::Client,
     endpoint: RefCell<Endpoint>,
     credentials: RefCell<Rc<Credentials>>,
     keys: PathBuf,
     leaving: watch::Sender<bool>,
-    attempts: Cell<u64>,
-    /// Links whose bytes are counted, and the bytes of those that are down.
+    last_attempt: Cell<u64>,
+    /// Open links, whose traffic is part of the metrics.
     links: RefCell<Vec<Link>>,
-    closed: Cell<Traffic>,
+    closed_traffic: Cell<Traffic>,
 }
 
 impl Process {
-    /// Binds the process's sockets.
+    /// Reads the keys and binds the link endpoint to `peers`.
     ///
     /// # Errors
     ///
-    /// Where the keys are not for this box, or the address is taken.
+    /// Fails if the keys are for another identity, or the address can't be bound.
     pub fn bind(role: Role, identity: &Identity, peers: SocketAddr) -> Result<Self, Error> {
         let credentials = Credentials::read(&identity.keys)?;
         check_identity(&credentials, role, identity)?;
@@ -66,20 +66,20 @@
         };
         Ok(Self {
             hello,
-            ledger: Ledger::default(),
+            catalogue_state: CatalogueState::default(),
             metrics: Rc::default(),
             http: gingerpier_services::http::client(),
             endpoint: RefCell::new(endpoint),
             credentials: RefCell::new(Rc::new(credentials)),
             keys: identity.keys.clone(),
             leaving: watch::Sender::new(false),
-            attempts: Cell::new(0),
+            last_attempt: Cell::new(0),
             links: RefCell::default(),
-            closed: Cell::default(),
+            closed_traffic: Cell::default(),
         })
     }
 
-    /// Who it is, and whether it leaves.
+    /// Returns the announcement to peers, with the current `leaving` flag.
     pub fn hello(&self) -> Hello {
         Hello {
             leaving: self.is_leaving(),
@@ -87,33 +87,33 @@
         }
     }
 
-    /// Keys in use.
+    /// Returns the current keys and certificates.
     pub fn credentials(&self) -> Rc<Credentials> {
         self.credentials.borrow().clone()
     }
 
-    /// Next number for an attempt.
+    /// Returns a new attempt number, unique within this process.
     pub fn next_attempt(&self) -> u64 {
-        self.attempts.set(self.attempts.get() + 1);
-        self.attempts.get()
+        self.last_attempt.set(self.last_attempt.get() + 1);
+        self.last_attempt.get()
     }
 
-    /// True once the process leaves.
+    /// Returns true once shutdown has started.
     pub fn is_leaving(&self) -> bool {
         *self.leaving.borrow()
     }
 
-    /// Starts to leave; not taken back.
+    /// Starts the shutdown; it can't be cancelled.
     pub fn leave(&self) {
         if !self.leaving.send_replace(true) {
             tracing::info!(event = "leaving");
         }
     }
 
-    /// Waits until the process leaves.
+    /// Waits until shutdown starts.
     pub async fn left(&self) {
         let mut leaving = self.leaving.subscribe();
-        // The sender lives as long as the process.
+        // The sender is owned by `self`, so this can't fail.
         let _ = leaving.wait_for(|leaving| *leaving).await;
     }
 
@@ -121,11 +121,11 @@
     ///
     /// # Errors
     ///
-    /// Where it can't be reached, or is somebody else.
+    /// Fails if the peer can't be reached or has another identity.
     pub async fn connect(
         &self,
         address: SocketAddr,
-        peer: &Named,
+        peer: &PeerIdentity,
     ) -> Result<Link, gingerpier_link::Error> {
         let endpoint = self.endpoint.borrow().clone();
         let link = endpoint.connect(address, peer).await?;
@@ -133,7 +133,7 @@
         Ok(link)
     }
 
-    /// Serves links that peers make, each with `serve`, until the endpoint is closed.
+    /// Accepts links from peers and runs `serve` for each, until the endpoint is closed.
     pub async fn accept<F, S>(self: &Rc<Self>, serve: F)
     where
         F: Fn(Link) -> S + 'static,
@@ -141,13 +141,13 @@
     {
         let endpoint = self.endpoint.borrow().clone();
         let serve = Rc::new(serve);
-        let handshakes = Arc::new(Semaphore::new(HANDSHAKES_AT_ONCE));
+        let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_HANDSHAKES));
         while let Some(incoming) = endpoint.accept().await {
             let (process, serve) = (self.clone(), serve.clone());
-            let handshake = handshakes.clone().acquire_owned().await;
+            let permit = permits.clone().acquire_owned().await;
             actix_rt::spawn(async move {
                 let link = process.authenticate(incoming).await;
-                drop(handshake);
+                drop(permit);
                 if let Some(link) = link {
                     serve(link).await;
                 }
@@ -156,10 +156,10 @@
     }
 
     async fn authenticate(&self, incoming: Incoming) -> Option<Link> {
-        let begun = clock::now();
+        let started_at = clock::now();
         match incoming.authenticate().await {
             Ok(link) => {
-                let took_millis = clock::now().millis_since(begun);
+                let took_millis = clock::now().millis_since(started_at);
                 tracing::info!(event = "link_taken", peer = %link.peer(), took_millis);
                 self.links.borrow_mut().push(link.clone());
                 Some(link)
@@ -171,50 +171,51 @@
         }
     }
 
-    /// Bytes of all links since the process started.
+    /// Returns the bytes of all links since the process started.
     fn traffic(&self) -> Traffic {
         let mut links = self.links.borrow_mut();
-        let mut sum = self.closed.get();
+        let mut sum = self.closed_traffic.get();
         links.retain(|link| {
             let traffic = link.traffic();
             sum = sum.plus(traffic);
             if link.is_closed() {
-                self.closed.set(self.closed.get().plus(traffic));
+                self.closed_traffic
+                    .set(self.closed_traffic.get().plus(traffic));
             }
             !link.is_closed()
         });
         sum
     }
 
-    fn count_traffic(&self) {
+    fn update_traffic_metrics(&self) {
         let Traffic { sent, received } = self.traffic();
         self.metrics.link_sent.set(sent as i64);
         self.metrics.link_received.set(received as i64);
     }
 
-    /// Serves metrics.
+    /// Serves metrics over HTTP and starts their collection; returns the bound address.
     ///
     /// # Errors
     ///
-    /// Where the address is taken.
-    pub fn install_metrics(self: &Rc<Self>, address: SocketAddr) -> Result<SocketAddr, Error> {
+    /// Fails if the address can't be bound.
+    pub fn spawn_metrics_server(self: &Rc<Self>, address: SocketAddr) -> Result<SocketAddr, Error> {
         let listener = listen(address)?;
         let address = listener.address();
         let process = self.clone();
         actix_rt::spawn(async move {
             loop {
-                process.count_traffic();
-                clock::pause(TRAFFIC_MILLIS).await;
+                process.update_traffic_metrics();
+                clock::pause(TRAFFIC_INTERVAL_MILLIS).await;
             }
         });
         actix_rt::spawn(clock::watch());
-        actix_rt::spawn(lateness::watch(self.metrics.clone()));
+        actix_rt::spawn(lateness::monitor(self.metrics.clone()));
         actix_rt::spawn(self.metrics.clone().serve(listener));
         Ok(address)
     }
 
-    /// Leaves on the signal to terminate.
-    pub fn install_signals(self: &Rc<Self>) {
+    /// Starts the shutdown on SIGTERM.
+    pub fn spawn_signal_handler(self: &Rc<Self>) {
         let process = self.clone();
         actix_rt::spawn(async move {
             match signal(SignalKind::terminate()) {
@@ -227,8 +228,8 @@
         });
     }
 
-    /// Reads the keys again when their files change, and tells `renewed`.
-    pub fn install_keys<F, R>(self: &Rc<Self>, renewed: F)
+    /// Reloads the keys when their files change, then calls `on_reload`.
+    pub fn spawn_key_watcher<F, R>(self: &Rc<Self>, on_reload: F)
     where
         F: Fn(Rc<Credentials>) -> R + 'static,
         R: Future<Output = ()>,
@@ -236,23 +237,23 @@
         let process = self.clone();
         actix_rt::spawn(async move {
             loop {
-                clock::pause(KEYS_MILLIS).await;
-                if let Some(credentials) = process.renew_keys() {
-                    renewed(credentials).await;
+                clock::pause(KEY_POLL_INTERVAL_MILLIS).await;
+                if let Some(credentials) = process.reload_keys() {
+                    on_reload(credentials).await;
                 }
             }
         });
     }
 
-    fn renew_keys(&self) -> Option<Rc<Credentials>> {
-        let read = match self.credentials().read_if_changed() {
-            Ok(read) => read?,
+    fn reload_keys(&self) -> Option<Rc<Credentials>> {
+        let changed = match self.credentials().read_if_changed() {
+            Ok(changed) => changed?,
             Err(error) => {
                 tracing::error!(event = "keys_refused", %error);
                 return None;
             }
         };
-        let credentials = Rc::new(read);
+        let credentials = Rc::new(changed);
         if let Err(error) = self.endpoint.borrow_mut().renew(&credentials) {
             tracing::error!(event = "keys_refused", %error);
             return None;
@@ -262,29 +263,29 @@
         Some(credentials)
     }
 
-    /// Closes all links, after the peers were told.
+    /// Closes all links and waits for a short time until the close is sent.
     pub async fn close(&self) {
         let endpoint = self.endpoint.borrow().clone();
-        let told = endpoint.close();
-        // A peer that does not answer must not hold up the end of the process.
-        let _ = actix_rt::time::timeout(std::time::Duration::from_millis(500), told).await;
+        let close = endpoint.close();
+        // A peer that doesn't respond must not delay the process's exit.
+        let _ = actix_rt::time::timeout(std::time::Duration::from_millis(500), close).await;
     }
 }
 
 fn check_identity(credentials: &Credentials, role: Role, identity: &Identity) -> Result<(), Error> {
-    let wanted = Named {
+    let expected = PeerIdentity {
         role,
         name: identity.name.clone(),
     };
-    let found = credentials.identity();
-    if *found == wanted {
+    let actual = credentials.identity();
+    if *actual == expected {
         return Ok(());
     }
-    let (found, wanted) = (found.to_string(), wanted.to_string());
+    let (actual, expected) = (actual.to_string(), expected.to_string());
     Err(Error::Identity {
         keys: identity.keys.clone(),
-        found,
-        wanted,
+        actual: actual,
+        expected: expected,
     })
 }
 
@@ -292,7 +293,7 @@
 ///
 /// # Errors
 ///
-/// Where the address is taken.
+/// Fails if the address can't be bound.
 pub fn listen(address: SocketAddr) -> Result<Listener, Error> {
-    Listener::bind(address).map_err(|what| Error::Listen { address, what })
+    Listener::bind(address).map_err(|cause| Error::Listen { address, cause })
 }
--- a/crates/gingerpier_daemon/src/run.rs
+++ b/crates/gingerpier_daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! From a settings file to a running daemon.
+//! Starts a daemon from its settings file.
 
 use {
     crate::{backend::Backend, entry::Entry, error::Error, log},
@@ -11,11 +11,11 @@
 ///
 /// # Errors
 ///
-/// Lists every mistake in it.
+/// Fails if the file can't be read or has errors, and lists all of them.
 pub fn settings(path: &Path) -> Result<Settings, Error> {
-    let text = std::fs::read_to_string(path).map_err(|what| Error::ReadSettings {
+    let text = std::fs::read_to_string(path).map_err(|cause| Error::ReadSettings {
         path: path.to_owned(),
-        what,
+        cause,
     })?;
     gingerpier_settings::read(&text).map_err(|problems| Error::Settings {
         path: path.to_owned(),
@@ -23,11 +23,11 @@
     })
 }
 
-/// Runs the daemon of a settings file until it is told to stop.
+/// Runs the daemon that a settings file describes until it is stopped.
 ///
 /// # Errors
 ///
-/// Where it can't start.
+/// Fails if the daemon can't start.
 pub fn run(path: &Path) -> Result<(), Error> {
     let settings = settings(path)?;
     actix_rt::System::new().block_on(async {
@@ -38,13 +38,13 @@
             Settings::Loader(settings) => gingerpier_gateway::loader::run(*settings, &Platform)
                 .await
                 .map_err(Error::Hosted),
-            other => run_own(path, other).await,
+            other => run_daemon(path, other).await,
         }
     })
 }
 
-async fn run_own(path: &Path, settings: Settings) -> Result<(), Error> {
-    log::start();
+async fn run_daemon(path: &Path, settings: Settings) -> Result<(), Error> {
+    log::init();
     match settings {
         Settings::Entry(settings) => Entry::run(*settings).await,
         Settings::Backend(settings) => Backend::run(*settings).await,
--- a/crates/gingerpier_daemon/src/table.rs
+++ b/crates/gingerpier_daemon/src/table.rs
@@ -1,18 +1,18 @@
-//! Tables: answers to queries, for people and programs.
+//! Tables with the results of operators' queries.
 
 use serde::{Deserialize, Serialize};
 
-/// Rows under named columns.
+/// Table with named columns.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Table {
-    /// Names of the columns.
+    /// Column names.
     pub columns: Vec<String>,
-    /// Rows, each as long as the columns.
+    /// Rows; each has one cell per column.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Empty table.
+    /// Creates a table without rows.
     pub fn new(columns: &[&str]) -> Self {
         let columns = columns.iter().map(|column| (*column).to_owned()).collect();
         Self {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Adds a row.
+    /// Appends a row.
     pub fn push<const N: usize>(&mut self, row: [String; N]) {
         self.rows.push(row.into());
     }
