--- a/crates/gingerpier_daemon/src/backend/attempts.rs
+++ b/crates/gingerpier_daemon/src/backend/attempts.rs
@@ -189,11 +189,11 @@
                     others: load_from_others,
                 }
             }
-            Outcome::Incomplete(reason) => {
+            \{ => Outcome::Incomplete(why) => { => {
                 self.attempts.record_end(attempt.key);
                 tracing::warn!(event = "attempt_broken", request = attempt.request,
-                    engine = %attempt.engine, why = reason);
-                Reply::Broken { why: reason }
+                    engine = %attempt.engine, why);
+                Reply::Broken { why }
             }
         };
         self.reply(stream, &last_reply).await;
@@ -234,7 +234,7 @@
             return Outcome::NotRun(Refusal::Full);
         }
         if let Err(reason) = check_version(attempt, &response) {
-            return Outcome::Incomplete(reason);
+            return \{ => Outcome::Incomplete(why) => {;
         }
         if !has_detectable_end(&response) {
             return Outcome::Incomplete(
--- a/crates/gingerpier_daemon/src/backend/chunk_requests.rs
+++ b/crates/gingerpier_daemon/src/backend/chunk_requests.rs
@@ -118,13 +118,13 @@
                 self.verify()
             }
             Err(Failure::Busy(until)) => Outcome::Refused(until),
-            Err(Failure::Failed(reason)) => {
+            Err(Failure::Failed(why)) => {
                 let source = self.fetch.describe(self.source);
                 tracing::debug!(
                     event = "source_failed",
                     chunk = self.chunk,
                     source,
-                    why = reason
+                    why
                 );
                 Outcome::Failed
             }
--- a/crates/gingerpier_daemon/src/backend/engines.rs
+++ b/crates/gingerpier_daemon/src/backend/engines.rs
@@ -264,8 +264,8 @@
     fn set_error(&self, error: Option<String>) {
         let mut state = self.state.borrow_mut();
         if state.error != error {
-            if let Some(error) = &error {
-                tracing::warn!(event = "engine_trouble", engine = %self.name, trouble = error);
+            if let Some(trouble) = &error {
+                tracing::warn!(event = "engine_trouble", engine = %self.name, trouble);
             }
             state.error = error;
         }
--- a/crates/gingerpier_daemon/src/entry/callers.rs
+++ b/crates/gingerpier_daemon/src/entry/callers.rs
@@ -1,9 +1,11 @@
-//! Callers' HTTP: models, plain services, tickets.
+//! HTTP API for callers: models, plain services and tickets.
 
 use {
     super::{
         Entry,
-        job::{Job, Outlet, Part, Target, Word, come_back_after},
+        caller_request::{
+            BodyPart, CallerRequest, ResponseSender, ResponseStart, Target, retry_after,
+        },
         tickets::Grant,
     },
     crate::{clock, metrics::OutcomeLabel},
@@ -25,51 +27,51 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Header that says what became of a request: `answered`, `not-run` or `unknown`.
+/// Response header with the outcome of a request: `answered`, `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "gingerpier-outcome";
-/// Header with the identifier of a request.
+/// Request and response header with the request identifier.
 pub const REQUEST_HEADER: &str = "gingerpier-request-id";
-/// Header with the `model@version` that answers.
+/// Response header with the `model@version` that responded.
 pub const VERSION_HEADER: &str = "gingerpier-version";
-/// Header of a caller: `yes` or `no`, whether the request may run more than once.
-pub const REPEATABLE_HEADER: &str = "gingerpier-repeatable";
-/// Header with a ticket.
-pub const KEY_HEADER: &str = "idempotency-key";
-/// Header of a caller: milliseconds until it no longer wants the answer.
-pub const PATIENCE_HEADER: &str = "gingerpier-patience-millis";
-/// Header with the milliseconds to come back after, beside `Retry-After` in whole seconds.
-pub const RETURN_HEADER: &str = "gingerpier-retry-after-millis";
+/// Request header, `yes` or `no`: whether the request may run more than once.
+pub const IDEMPOTENT_HEADER: &str = "gingerpier-repeatable";
+/// Request header with a ticket.
+pub const TICKET_HEADER: &str = "idempotency-key";
+/// Request header with the timeout of the request in milliseconds.
+pub const TIMEOUT_HEADER: &str = "gingerpier-patience-millis";
+/// Response header with the retry delay in milliseconds, beside `Retry-After` in whole seconds.
+pub const RETRY_AFTER_HEADER: &str = "gingerpier-retry-after-millis";
 
-/// Tickets given by one call at most.
-const MOST_TICKETS: u32 = 1_000;
-/// Bytes of a prompt by which requests are kept together.
+/// Limit on the tickets issued by one request.
+const MAX_TICKETS: u32 = 1_000;
+/// Length of the prompt's start that is hashed to route similar prompts to the same engines.
 const PREFIX_BYTES: usize = 256;
-/// Parts of an answer that may wait for a slow caller.
-const PARTS_WAITING: usize = 16;
-/// Path of plain services.
-const SERVICES: &str = "/services/";
+/// Limit on buffered parts of a response to a slow caller.
+const MAX_BUFFERED_PARTS: usize = 16;
+/// Path prefix of plain services.
+const SERVICES_PATH: &str = "/services/";
 
-/// A request refused before anything ran.
-struct Refusal {
+/// Error response that this entry box generates.
+struct ErrorResponse {
     status: u16,
     outcome: &'static str,
-    why: String,
-    come_back: Option<Duration>,
+    message: String,
+    retry_after: Option<Duration>,
 }
 
-impl Refusal {
-    fn not_run(status: u16, why: impl ToString) -> Self {
+impl ErrorResponse {
+    fn not_run(status: u16, message: impl ToString) -> Self {
         Self {
             status,
             outcome: "not-run",
-            why: why.to_string(),
-            come_back: None,
+            message: message.to_string(),
+            retry_after: None,
         }
     }
 }
 
 #[derive(Deserialize)]
-struct Asked {
+struct ModelRequest {
     model: Name,
     #[serde(default)]
     prompt: serde_json::Value,
@@ -78,13 +80,13 @@
 }
 
 #[derive(Default, Deserialize, Serialize)]
-struct TicketsAsked {
+struct TicketRequest {
     #[serde(default)]
     count: Option<u32>,
 }
 
 impl Entry {
-    /// Serves callers for as long as the process runs.
+    /// Spawns the server for callers.
     pub fn spawn_caller_server(self: Rc<Self>, listener: Listener) {
         actix_rt::spawn(listener.serve(move |request| {
             let entry = self.clone();
@@ -93,29 +95,33 @@
     }
 
     async fn serve_caller(self: Rc<Self>, request: Request) -> Answer {
-        let named = header_text(&request, REQUEST_HEADER).filter(|id| is_identifier(id));
-        let id = named.unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
+        let request_id = header_text(&request, REQUEST_HEADER).filter(|id| is_identifier(id));
+        let id = request_id.unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
         match self.clone().route_caller(request, &id).await {
             Ok(answer) => answer,
-            Err(refusal) => {
+            Err(error_response) => {
                 let label = OutcomeLabel {
-                    outcome: refusal.outcome.replace('-', "_"),
+                    outcome: error_response.outcome.replace('-', "_"),
                     account: "refused".to_owned(),
                 };
                 self.process.metrics.requests.get_or_create(&label).inc();
                 tracing::info!(
                     event = "request_refused",
                     request = id,
-                    status = refusal.status,
-                    outcome = refusal.outcome,
-                    why = refusal.why
+                    status = error_response.status,
+                    outcome = error_response.outcome,
+                    why = error_response.message
                 );
-                refusal_answer(&refusal, &id)
+                to_response(&error_response, &id)
             }
         }
     }
 
-    async fn route_caller(self: Rc<Self>, request: Request, id: &str) -> Result<Answer, Refusal> {
+    async fn route_caller(
+        self: Rc<Self>,
+        request: Request,
+        id: &str,
+    ) -> Result<Answer, ErrorResponse> {
         let path = request.path().to_owned();
         if path == "/healthz" {
             let status = if self.process.is_leaving() { 503 } else { 200 };
@@ -125,13 +131,14 @@
             ));
         }
         if self.process.is_leaving() {
-            let come_back = Some(Duration::from_millis(1));
-            let why = "this entry box is leaving; another one serves at once".to_owned();
-            return Err(Refusal {
+            let retry_after = Some(Duration::from_millis(1));
+            let message =
+                "this entry box is shutting down; send the request to another one".to_owned();
+            return Err(ErrorResponse {
                 status: 503,
                 outcome: "not-run",
-                why,
-                come_back,
+                message,
+                retry_after,
             });
         }
         let account = self.account(&request)?;
@@ -141,64 +148,67 @@
             (&Method::POST, path) if path.starts_with("/v1/") => {
                 self.serve_model(request, &account, id).await
             }
-            (_, path) if path.starts_with(SERVICES) => {
+            (_, path) if path.starts_with(SERVICES_PATH) => {
                 self.serve_service(request, &account, id).await
             }
-            _ => Err(Refusal::not_run(
+            _ => Err(ErrorResponse::not_run(
                 404,
-                "callers ask /v1/..., /v1/tickets, /v1/models or /services/NAME/...",
+                "paths for callers are /v1/..., /v1/tickets, /v1/models and /services/NAME/...",
             )),
         }
     }
 
-    fn account(&self, request: &Request) -> Result<Account, Refusal> {
+    fn account(&self, request: &Request) -> Result<Account, ErrorResponse> {
         let token = header_text(request, header::AUTHORIZATION.as_str());
         let token = token
             .as_deref()
             .and_then(|value| value.strip_prefix("Bearer "));
-        let why = "a client account's token is wanted, as in `Authorization: Bearer TOKEN`";
-        let token = token.ok_or_else(|| Refusal::not_run(401, why))?;
+        let message =
+            "the request needs a client account's token, as in `Authorization: Bearer TOKEN`";
+        let token = token.ok_or_else(|| ErrorResponse::not_run(401, message))?;
         let catalogue = self.process.catalogue_state.catalogue();
         let account = catalogue.account_of_key(Digest::of(token.as_bytes()));
         account
             .cloned()
-            .ok_or_else(|| Refusal::not_run(401, "no client account has this token"))
+            .ok_or_else(|| ErrorResponse::not_run(401, "no client account has this token"))
     }
 
-    async fn issue_tickets(&self, mut request: Request) -> Result<Answer, Refusal> {
-        let read = body::read(&mut request, 1_024).await.map_err(refuse_body)?;
-        let asked = if read.is_empty() {
-            TicketsAsked::default()
+    async fn issue_tickets(&self, mut request: Request) -> Result<Answer, ErrorResponse> {
+        let body_bytes = body::read(&mut request, 1_024).await.map_err(body_error)?;
+        let parsed = if body_bytes.is_empty() {
+            TicketRequest::default()
         } else {
-            serde_json::from_slice(&read)
-                .map_err(|error| Refusal::not_run(400, format!("the body: {error}")))?
+            serde_json::from_slice(&body_bytes)
+                .map_err(|error| ErrorResponse::not_run(400, format!("the body: {error}")))?
         };
-        let count = asked.count.unwrap_or(1).min(MOST_TICKETS);
+        let count = parsed.count.unwrap_or(1).min(MAX_TICKETS);
         let mut claims = self.claims.borrow_mut();
         let now = clock::now();
         let tickets: Vec<String> = (0..count).map(|_| claims.issue(now).to_string()).collect();
-        let millis = self.settings.requests.ticket_life.0;
+        let delay_millis = self.settings.requests.ticket_life.0;
         Ok(answer::json(
             200,
-            &json!({ "tickets": tickets, "good_for_millis": millis }),
+            &json!({ "tickets": tickets, "good_for_millis": delay_millis }),
         ))
     }
 
     fn list_models(&self, account: &Account) -> Answer {
         let catalogue = self.process.catalogue_state.catalogue();
-        let served = catalogue.models().filter(|(key, model)| {
+        let accessible = catalogue.models().filter(|(key, model)| {
             catalogue.open_versions(*key).next().is_some()
-                && !self.zones_for(&model.contracts, &account.name).is_empty()
+                && !self
+                    .allowed_zones(&model.contracts, &account.name)
+                    .is_empty()
         });
-        let data: Vec<_> = served
+        let data: Vec<_> = accessible
             .map(|(_, model)| json!({ "id": model.name, "object": "model" }))
             .collect();
         answer::json(200, &json!({ "object": "list", "data": data }))
     }
 
-    async fn read_body(&self, request: &mut Request) -> Result<Bytes, Refusal> {
-        let longest = self.settings.requests.longest_body.0 as usize;
-        body::read(request, longest).await.map_err(refuse_body)
+    async fn read_body(&self, request: &mut Request) -> Result<Bytes, ErrorResponse> {
+        let max_bytes = self.settings.requests.longest_body.0 as usize;
+        body::read(request, max_bytes).await.map_err(body_error)
     }
 
     async fn serve_model(
@@ -206,36 +216,36 @@
         mut request: Request,
         account: &Account,
         id: &str,
-    ) -> Result<Answer, Refusal> {
-        let read = self.read_body(&mut request).await?;
-        let asked: Asked = serde_json::from_slice(&read)
-            .map_err(|error| Refusal::not_run(400, format!("the body: {error}")))?;
+    ) -> Result<Answer, ErrorResponse> {
+        let body_bytes = self.read_body(&mut request).await?;
+        let parsed: ModelRequest = serde_json::from_slice(&body_bytes)
+            .map_err(|error| ErrorResponse::not_run(400, format!("the body: {error}")))?;
         let catalogue = self.process.catalogue_state.catalogue();
-        let model = catalogue.model_named(&asked.model);
-        let model = model.map_err(|error| Refusal::not_run(404, error))?;
+        let model = catalogue.model_named(&parsed.model);
+        let model = model.map_err(|error| ErrorResponse::not_run(404, error))?;
         if self
-            .zones_for(&catalogue.model(model).contracts, &account.name)
+            .allowed_zones(&catalogue.model(model).contracts, &account.name)
             .is_empty()
         {
-            let why = format!("`{}` is not served to this client account", asked.model);
-            return Err(Refusal::not_run(403, why));
+            let message = format!("`{}` is not served to this client account", parsed.model);
+            return Err(ErrorResponse::not_run(403, message));
         }
-        let prefix = prompt_prefix(&asked);
-        // A model writes nothing but its answer: to run it twice does no harm by itself.
+        let prefix_hash = prompt_prefix(&parsed);
+        // Running a model twice has no side effects.
         let idempotency = idempotency(&request, Idempotency::Idempotent)?;
         let target = Target::Model(model);
         let path = request.uri().to_string();
-        let job = self.job(
+        let caller_request = self.caller_request(
             &request,
             account,
             id,
             target,
             path,
-            read,
+            body_bytes,
             idempotency,
-            prefix,
+            prefix_hash,
         )?;
-        self.run_job(&request, job).await
+        self.run_job(&request, caller_request).await
     }
 
     async fn serve_service(
@@ -243,12 +253,14 @@
         mut request: Request,
         account: &Account,
         id: &str,
-    ) -> Result<Answer, Refusal> {
-        let read = self.read_body(&mut request).await?;
-        let asked = request.uri().to_string();
-        let rest = &asked[SERVICES.len()..];
+    ) -> Result<Answer, ErrorResponse> {
+        let body_bytes = self.read_body(&mut request).await?;
+        let parsed = request.uri().to_string();
+        let rest = &parsed[SERVICES_PATH.len()..];
         let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
-        let name: Name = name.parse().map_err(|error| Refusal::not_run(400, error))?;
+        let name: Name = name
+            .parse()
+            .map_err(|error| ErrorResponse::not_run(400, error))?;
         let safe = matches!(
             *request.method(),
             Method::GET | Method::HEAD | Method::OPTIONS
@@ -261,12 +273,21 @@
         let idempotency = idempotency(&request, default)?;
         let target = Target::Service(name);
         let path = format!("/{path}");
-        let job = self.job(&request, account, id, target, path, read, idempotency, None)?;
-        self.run_job(&request, job).await
+        let caller_request = self.caller_request(
+            &request,
+            account,
+            id,
+            target,
+            path,
+            body_bytes,
+            idempotency,
+            None,
+        )?;
+        self.run_job(&request, caller_request).await
     }
 
     #[expect(clippy::too_many_arguments, reason = "each is a part of one request")]
-    fn job(
+    fn caller_request(
         &self,
         request: &Request,
         account: &Account,
@@ -275,9 +296,9 @@
         path: String,
         body: Bytes,
         idempotency: Idempotency,
-        prefix: Option<u64>,
-    ) -> Result<Job, Refusal> {
-        Ok(Job {
+        prefix_hash: Option<u64>,
+    ) -> Result<CallerRequest, ErrorResponse> {
+        Ok(CallerRequest {
             request: id.to_owned(),
             account: account.name.clone(),
             account_key: self.account_key(&account.name, account.rate),
@@ -287,95 +308,116 @@
             path,
             content_type: header_text(request, header::CONTENT_TYPE.as_str()),
             body,
-            prefix,
+            prefix_hash,
             idempotency,
             grant: None,
             deadline: self.deadline(request)?,
         })
     }
 
-    fn deadline(&self, request: &Request) -> Result<Instant, Refusal> {
-        let most = self.settings.requests.patience.0;
-        let asked = header_text(request, PATIENCE_HEADER).map(|text| text.parse::<u64>());
-        let asked = asked.transpose().map_err(|_| {
-            Refusal::not_run(
+    fn deadline(&self, request: &Request) -> Result<Instant, ErrorResponse> {
+        let max_timeout_millis = self.settings.requests.patience.0;
+        let parsed = header_text(request, TIMEOUT_HEADER).map(|text| text.parse::<u64>());
+        let parsed = parsed.transpose().map_err(|_| {
+            ErrorResponse::not_run(
                 400,
-                format!("{PATIENCE_HEADER} is a whole number of milliseconds"),
+                format!("{TIMEOUT_HEADER} is a whole number of milliseconds"),
             )
         })?;
-        Ok(clock::now().after_millis(asked.unwrap_or(most).min(most)))
+        Ok(clock::now().after_millis(parsed.unwrap_or(max_timeout_millis).min(max_timeout_millis)))
     }
 
-    /// Admits a job, and gives its answer as it comes.
-    async fn run_job(self: Rc<Self>, request: &Request, mut job: Job) -> Result<Answer, Refusal> {
-        self.admit(job.account_key)?;
-        let granted = self.grant(request, &job).await;
-        let settled = granted.inspect_err(|_| {
-            self.limits.borrow_mut().record_request_end(job.account_key);
+    /// Admits and forwards a request; returns its response, whose body is streamed.
+    async fn run_job(
+        self: Rc<Self>,
+        request: &Request,
+        mut caller_request: CallerRequest,
+    ) -> Result<Answer, ErrorResponse> {
+        self.admit(caller_request.account_key)?;
+        let grant_result = self.grant(request, &caller_request).await;
+        let checked_grant = grant_result.inspect_err(|_| {
+            self.limits
+                .borrow_mut()
+                .record_request_end(caller_request.account_key);
         });
-        job.grant = settled?;
-        let id = job.request.clone();
-        let (word, first) = oneshot::channel();
-        let (parts, coming) = mpsc::channel(PARTS_WAITING);
-        let outlet = Outlet {
-            word: Some(word),
-            parts,
+        caller_request.grant = checked_grant?;
+        let id = caller_request.request.clone();
+        let (start, start_receiver) = oneshot::channel();
+        let (body_parts, body_receiver) = mpsc::channel(MAX_BUFFERED_PARTS);
+        let response_sender = ResponseSender {
+            start: Some(start),
+            body_parts,
         };
-        actix_rt::spawn(self.drive(job, outlet));
-        match first.await {
-            Ok(Word::Head {
+        actix_rt::spawn(self.forward(caller_request, response_sender));
+        match start_receiver.await {
+            Ok(ResponseStart::Head {
                 status,
                 content_type,
                 version,
-            }) => Ok(head_answer(&id, status, content_type, version, coming)),
-            Ok(Word::NotRun(reason)) => Err(given_up(reason, "not-run")),
-            Ok(Word::Unknown(reason)) => Err(given_up(reason, "unknown")),
-            Err(_) => Err(given_up(Reason::LinkLost, "unknown")),
+            }) => Ok(streamed_response(
+                &id,
+                status,
+                content_type,
+                version,
+                body_receiver,
+            )),
+            Ok(ResponseStart::NotRun(reason)) => Err(final_error(reason, "not-run")),
+            Ok(ResponseStart::Unknown(reason)) => Err(final_error(reason, "unknown")),
+            Err(_) => Err(final_error(Reason::LinkLost, "unknown")),
         }
     }
 
-    fn admit(&self, account: AccountKey) -> Result<(), Refusal> {
-        let demand = self.demand();
+    fn admit(&self, account: AccountKey) -> Result<(), ErrorResponse> {
+        let utilization = self.utilization();
         let now = clock::now();
-        let admitted = self.limits.borrow_mut().admit(account, demand, now);
-        admitted.map_err(|at| Refusal {
+        let admitted = self.limits.borrow_mut().admit(account, utilization, now);
+        admitted.map_err(|at| ErrorResponse {
             status: 429,
             outcome: "not-run",
-            why: "the client account is over its limit or its share".to_owned(),
-            come_back: Some(Duration::from_millis(at.millis_since(now).max(1))),
+            message: "the client account has exceeded its limit or its share".to_owned(),
+            retry_after: Some(Duration::from_millis(at.millis_since(now).max(1))),
         })
     }
 
-    /// The right to run a request that may not run twice and came with a ticket.
-    async fn grant(&self, request: &Request, job: &Job) -> Result<Option<Grant>, Refusal> {
-        let Some(key) = header_text(request, KEY_HEADER) else {
+    /// Claims the ticket of a request that must not run twice.
+    async fn grant(
+        &self,
+        request: &Request,
+        caller_request: &CallerRequest,
+    ) -> Result<Option<Grant>, ErrorResponse> {
+        let Some(key) = header_text(request, TICKET_HEADER) else {
             return Ok(None);
         };
-        if job.idempotency == Idempotency::Idempotent {
+        if caller_request.idempotency == Idempotency::Idempotent {
             return Ok(None);
         }
-        let ticket: Ticket = key.parse().map_err(|error| Refusal::not_run(400, error))?;
-        let refuse = |outcome, why: &str| Refusal {
+        let ticket: Ticket = key
+            .parse()
+            .map_err(|error| ErrorResponse::not_run(400, error))?;
+        let conflict = |outcome, message: &str| ErrorResponse {
             status: 409,
             outcome,
-            why: why.to_owned(),
-            come_back: None,
+            message: message.to_owned(),
+            retry_after: None,
         };
         match self.claim(ticket).await {
             Verdict::Granted(number) => Ok(Some(Grant { ticket, number })),
-            Verdict::Running => Err(refuse(
+            Verdict::Running => Err(conflict(
                 "unknown",
-                "an earlier try with this ticket runs now",
+                "an earlier request with this ticket is running",
             )),
-            Verdict::Answered => Err(refuse(
+            Verdict::Answered => Err(conflict(
                 "answered",
-                "an earlier try with this ticket ran and was answered",
+                "an earlier request with this ticket ran and got its response",
             )),
-            Verdict::Unknown => Err(refuse(
+            Verdict::Unknown => Err(conflict(
                 "unknown",
-                "an earlier try with this ticket may have run, and its owner can't tell",
+                "an earlier request with this ticket may have run; its result is unknown",
+            )),
+            Verdict::Forged => Err(ErrorResponse::not_run(
+                400,
+                "the ticket was not issued here",
             )),
-            Verdict::Forged => Err(Refusal::not_run(400, "the ticket was not issued here")),
         }
     }
 }
@@ -389,25 +431,25 @@
     !text.is_empty() && text.len() <= 64 && text.bytes().all(allowed)
 }
 
-fn refuse_body(error: body::Error) -> Refusal {
-    Refusal::not_run(error.status(), error)
+fn body_error(error: body::Error) -> ErrorResponse {
+    ErrorResponse::not_run(error.status(), error)
 }
 
-fn idempotency(request: &Request, default: Idempotency) -> Result<Idempotency, Refusal> {
-    match header_text(request, REPEATABLE_HEADER).as_deref() {
+fn idempotency(request: &Request, default: Idempotency) -> Result<Idempotency, ErrorResponse> {
+    match header_text(request, IDEMPOTENT_HEADER).as_deref() {
         None => Ok(default),
         Some("yes") => Ok(Idempotency::Idempotent),
         Some("no") => Ok(Idempotency::NonIdempotent),
-        Some(_) => Err(Refusal::not_run(
+        Some(_) => Err(ErrorResponse::not_run(
             400,
-            format!("{REPEATABLE_HEADER} is `yes` or `no`"),
+            format!("{IDEMPOTENT_HEADER} is `yes` or `no`"),
         )),
     }
 }
 
-/// Hash of the start of what is asked, so that engines that hold it in their caches are found.
-fn prompt_prefix(asked: &Asked) -> Option<u64> {
-    let text = match (&asked.prompt, &asked.messages) {
+/// Returns the hash of the prompt's start, by which engines with a cached prefix are found.
+fn prompt_prefix(parsed: &ModelRequest) -> Option<u64> {
+    let text = match (&parsed.prompt, &parsed.messages) {
         (serde_json::Value::String(prompt), _) => prompt.clone(),
         (_, messages) if messages.is_array() => messages.to_string(),
         _ => return None,
@@ -416,57 +458,63 @@
     Some(order::hash(&text.as_bytes()[..end]))
 }
 
-fn given_up(reason: Reason, outcome: &'static str) -> Refusal {
-    let (status, why) = match reason {
+fn final_error(reason: Reason, outcome: &'static str) -> ErrorResponse {
+    let (status, message) = match reason {
         Reason::NoneFree(_) => (503, "no engine may take the request now"),
         Reason::Deadline => (504, "the deadline of the request has passed"),
-        Reason::Retries => (503, "all tries were refused"),
-        Reason::LinkLost => (502, "the backend server was lost while it had the request"),
-        Reason::Broken => (502, "the engine failed while it had the request"),
-        Reason::CallerGone => (499, "the caller went away"),
+        Reason::Retries => (503, "all attempts were refused"),
+        Reason::LinkLost => (
+            502,
+            "the connection to the backend server was lost during the request",
+        ),
+        Reason::Broken => (502, "the engine failed during the request"),
+        Reason::CallerGone => (499, "the caller disconnected"),
     };
-    let come_back = Some(come_back_after(reason, clock::now()));
-    Refusal {
+    let retry_after = Some(retry_after(reason, clock::now()));
+    ErrorResponse {
         status,
         outcome,
-        why: why.to_owned(),
-        come_back,
+        message: message.to_owned(),
+        retry_after,
     }
 }
 
-fn refusal_answer(refusal: &Refusal, id: &str) -> Answer {
-    let Refusal {
+fn to_response(error_response: &ErrorResponse, id: &str) -> Answer {
+    let ErrorResponse {
         status,
         outcome,
-        why,
-        come_back,
-    } = refusal;
+        message,
+        retry_after,
+    } = error_response;
     let mut builder = answer::build(*status);
     builder.insert_header((OUTCOME_HEADER, *outcome));
     builder.insert_header((REQUEST_HEADER, id));
     builder.insert_header((header::CONTENT_TYPE, "application/json"));
-    let millis = come_back.map(|come_back| come_back.as_millis() as u64);
-    if let Some(millis) = millis {
-        builder.insert_header((header::RETRY_AFTER, millis.div_ceil(1_000).to_string()));
-        builder.insert_header((RETURN_HEADER, millis.to_string()));
+    let delay_millis = retry_after.map(|retry_after| retry_after.as_millis() as u64);
+    if let Some(delay_millis) = delay_millis {
+        builder.insert_header((
+            header::RETRY_AFTER,
+            delay_millis.div_ceil(1_000).to_string(),
+        ));
+        builder.insert_header((RETRY_AFTER_HEADER, delay_millis.to_string()));
     }
     let error = json!({
         "outcome": outcome,
-        "message": why,
+        "message": message,
         "request": id,
-        "retry_after_millis": millis,
+        "retry_after_millis": delay_millis,
     });
     builder
         .body(json!({ "error": error }).to_string())
         .map_into_boxed_body()
 }
 
-fn head_answer(
+fn streamed_response(
     id: &str,
     status: u16,
     content_type: Option<String>,
     version: Option<String>,
-    coming: mpsc::Receiver<Part>,
+    body_receiver: mpsc::Receiver<BodyPart>,
 ) -> Answer {
     let mut builder = answer::build(status);
     builder.insert_header((REQUEST_HEADER, id));
@@ -476,16 +524,17 @@
     if let Some(version) = version {
         builder.insert_header((VERSION_HEADER, version));
     }
-    let parts = stream::unfold(Some(coming), |coming| async {
-        let mut coming = coming?;
-        match coming.recv().await {
-            Some(Part::Bytes(bytes)) => Some((Ok(bytes), Some(coming))),
-            Some(Part::End) => None,
-            // The connection is closed without the mark of a body's end.
-            Some(Part::Broken) | None => {
-                Some((Err(io::Error::other("the answer broke off")), None))
+    let body_parts = stream::unfold(Some(body_receiver), |body_receiver| async {
+        let mut body_receiver = body_receiver?;
+        match body_receiver.recv().await {
+            Some(BodyPart::Bytes(bytes)) => Some((Ok(bytes), Some(body_receiver))),
+            Some(BodyPart::End) => None,
+            // Ends the connection without the end of the body, so that the caller detects the
+            // abort.
+            Some(BodyPart::Aborted) | None => {
+                Some((Err(io::Error::other("the response was aborted")), None))
             }
         }
     });
-    answer::stream(builder, parts)
+    answer::stream(builder, body_parts)
 }
--- a/crates/gingerpier_daemon/src/entry/fleet.rs
+++ b/crates/gingerpier_daemon/src/entry/fleet.rs
@@ -1,4 +1,5 @@
-//! Engines and plain services as their doors report them, and the router over them.
+//! Engines and plain services as backend servers report them, with the router that chooses among
+//! them.
 
 use {
     crate::clock,
@@ -14,26 +15,26 @@
 
 /// What the engines of a pool serve.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Offer {
-    /// A version, or an adapter's version, by its manifest.
+pub enum Workload {
+    /// Weights, by the digest of the version's or the adapter's manifest.
     WeightsCache(Digest),
-    /// A plain service.
+    /// Plain service.
     Service(Name),
 }
 
-/// An engine or plain service.
+/// Engine or plain service.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its backend server.
+    /// Backend server of the engine.
     pub server: BoxKey,
-    /// Name of its backend server.
+    /// Name of the backend server.
     pub server_name: Name,
-    /// Where it is.
+    /// Zone of the backend server.
     pub zone: Zone,
-    /// Its last status.
+    /// Last reported status.
     pub status: EngineStatus,
-    /// True while its server takes work.
-    pub usable: bool,
+    /// True if the backend server accepts new requests.
+    pub is_usable: bool,
 }
 
 /// Engines known to this entry box.
@@ -41,11 +42,11 @@
     router: Router,
     engines: BTreeMap<EngineKey, Engine>,
     by_name: BTreeMap<Name, EngineKey>,
-    pools: BTreeMap<(Offer, Name), PoolKey>,
+    pools: BTreeMap<(Workload, Name), PoolKey>,
 }
 
 impl Fleet {
-    /// Empty fleet; `seed` is for the router's random draws.
+    /// Creates a fleet without engines; `seed` initializes the router's random choices.
     pub fn new(seed: u64) -> Self {
         Self {
             router: Router::new(Policy::default(), seed),
@@ -55,98 +56,101 @@
         }
     }
 
-    /// The router.
+    /// Returns the router.
     pub fn router(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    /// Engines with their keys.
+    /// Returns all engines with their keys.
     pub fn engines(&self) -> impl Iterator<Item = (EngineKey, &Engine)> {
         self.engines.iter().map(|(key, engine)| (*key, engine))
     }
 
-    /// Engine of `key`.
+    /// Returns the engine of a key.
     pub fn engine(&self, key: EngineKey) -> Option<&Engine> {
         self.engines.get(&key)
     }
 
-    /// Pool of an offer in a zone, where some engine has been in it.
-    pub fn pool(&self, offer: &Offer, zone: &Name) -> Option<PoolKey> {
-        self.pools.get(&(offer.clone(), zone.clone())).copied()
+    /// Returns the pool of a workload in a zone if an engine has ever been in it.
+    pub fn pool(&self, workload: &Workload, zone: &Name) -> Option<PoolKey> {
+        self.pools.get(&(workload.clone(), zone.clone())).copied()
     }
 
-    /// Engines that serve an offer now, over all zones.
-    pub fn serving(&self, offer: &Offer) -> usize {
-        let pools = self.pools.iter().filter(|((held, _), _)| held == offer);
+    /// Returns the number of engines in all zones that serve a workload now.
+    pub fn serving_count(&self, workload: &Workload) -> usize {
+        let pools = self
+            .pools
+            .iter()
+            .filter(|((current, _), _)| current == workload);
         pools
             .map(|(_, pool)| self.router.members(*pool).len())
             .sum()
     }
 
-    /// Load and capacity of all engines that take work.
+    /// Returns the load and capacity of all usable engines.
     pub fn load_and_capacity(&self) -> (u64, u64) {
-        let usable = self.engines.iter().filter(|(_, engine)| engine.usable);
-        usable.fold((0, 0), |(load, capacity), (key, engine)| {
-            let held = u64::from(self.router.load(*key));
-            (load + held, capacity + u64::from(engine.status.capacity))
+        let is_usable = self.engines.iter().filter(|(_, engine)| engine.is_usable);
+        is_usable.fold((0, 0), |(load, capacity), (key, engine)| {
+            let current = u64::from(self.router.load(*key));
+            (load + current, capacity + u64::from(engine.status.capacity))
         })
     }
 
-    /// Takes a server's status.
-    pub fn take(
+    /// Updates the engines of a backend server from its status.
+    pub fn record_status(
         &mut self,
         server: BoxKey,
         name: &Name,
         zone: &Zone,
         status: &Status,
-        usable: bool,
+        is_usable: bool,
     ) {
         for reported in &status.engines {
-            let key = self.key(server, name, zone, reported);
+            let key = self.key_of_reported(server, name, zone, reported);
             self.router
                 .record_load_report(key, reported.others, reported.capacity, clock::now());
             if let Some(engine) = self.engines.get_mut(&key) {
                 engine.server = server;
                 engine.status = reported.clone();
-                engine.usable = usable;
+                engine.is_usable = is_usable;
             }
-            self.place(key);
+            self.update_pools(key);
         }
     }
 
-    /// Notes whether a server takes work.
-    pub fn set_usable(&mut self, server: BoxKey, usable: bool) {
-        let changed = self
+    /// Updates whether a backend server accepts new requests.
+    pub fn set_usable(&mut self, server: BoxKey, is_usable: bool) {
+        let server_engines = self
             .engines
             .iter_mut()
             .filter(|(_, engine)| engine.server == server);
         let mut keys = Vec::new();
-        for (key, engine) in changed {
-            if engine.usable != usable {
-                engine.usable = usable;
+        for (key, engine) in server_engines {
+            if engine.is_usable != is_usable {
+                engine.is_usable = is_usable;
                 keys.push(*key);
             }
         }
         for key in keys {
-            self.place(key);
+            self.update_pools(key);
         }
     }
 
-    /// Forgets a server that is gone.
-    pub fn forget(&mut self, server: BoxKey) {
+    /// Removes a backend server with its engines.
+    pub fn remove_server(&mut self, server: BoxKey) {
         self.set_usable(server, false);
-        let gone = self
+        let removed = self
             .engines
             .iter()
             .filter(|(_, engine)| engine.server == server);
-        let gone: Vec<EngineKey> = gone.map(|(key, _)| *key).collect();
-        for key in gone {
+        let removed: Vec<EngineKey> = removed.map(|(key, _)| *key).collect();
+        for key in removed {
             self.engines.remove(&key);
-            self.by_name.retain(|_, held| *held != key);
+            self.by_name.retain(|_, other| *other != key);
         }
     }
 
-    fn key(
+    fn key_of_reported(
         &mut self,
         server: BoxKey,
         name: &Name,
@@ -162,44 +166,46 @@
             server_name: name.clone(),
             zone: zone.clone(),
             status: reported.clone(),
-            usable: false,
+            is_usable: false,
         };
         self.engines.insert(key, engine);
         self.by_name.insert(reported.name.clone(), key);
         key
     }
 
-    /// Puts an engine into the pools of what it serves now, and no others.
-    fn place(&mut self, key: EngineKey) {
+    /// Moves an engine into exactly the pools of what it serves now.
+    fn update_pools(&mut self, key: EngineKey) {
         let Some(engine) = self.engines.get(&key) else {
             return;
         };
         let zone = engine.zone.name.clone();
-        let offers = engine.offers();
-        let mut wanted = Vec::with_capacity(offers.len());
-        for offer in offers {
-            let pool = self.pools.entry((offer, zone.clone()));
-            wanted.push(*pool.or_insert_with(|| self.router.add_pool()));
+        let workloads = engine.workloads();
+        let mut desired = Vec::with_capacity(workloads.len());
+        for workload in workloads {
+            let pool = self.pools.entry((workload, zone.clone()));
+            desired.push(*pool.or_insert_with(|| self.router.add_pool()));
         }
-        let held = self.router.pools_of(key).to_vec();
-        for pool in held.iter().filter(|pool| !wanted.contains(pool)) {
+        let current = self.router.pools_of(key).to_vec();
+        for pool in current.iter().filter(|pool| !desired.contains(pool)) {
             self.router.remove_from_pool(*pool, key);
         }
-        for pool in wanted.into_iter().filter(|pool| !held.contains(pool)) {
+        for pool in desired.into_iter().filter(|pool| !current.contains(pool)) {
             self.router.add_to_pool(pool, key);
         }
     }
 }
 
 impl Engine {
-    fn offers(&self) -> Vec<Offer> {
-        if !self.usable || self.status.phase != Phase::Ready {
+    fn workloads(&self) -> Vec<Workload> {
+        if !self.is_usable || self.status.phase != Phase::Ready {
             return Vec::new();
         }
         if self.status.plain {
-            return vec![Offer::Service(self.status.kind.clone())];
+            return vec![Workload::Service(self.status.kind.clone())];
         }
         let weights = self.status.weights.iter().chain(&self.status.adapters);
-        weights.map(|digest| Offer::WeightsCache(*digest)).collect()
+        weights
+            .map(|digest| Workload::WeightsCache(*digest))
+            .collect()
     }
 }
--- a/crates/gingerpier_daemon/src/entry/links.rs
+++ b/crates/gingerpier_daemon/src/entry/links.rs
@@ -1,4 +1,4 @@
-//! Boxes and links: the box list read, a link kept to each box, its reports taken.
+//! Keeps links to the boxes of the box list and receives the reports of backend servers.
 
 use {
     super::Entry,
@@ -19,17 +19,17 @@
     std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// Milliseconds between reads of the box list.
-const LIST_MILLIS: u64 = 1_000;
-/// Time for the box list's answer.
-const LIST_PATIENCE: Duration = Duration::from_secs(2);
-/// Time for a link to be made and greeted.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(2);
-/// Milliseconds before a link is tried again, doubled up to [`MOST_RETRY_MILLIS`].
-const RETRY_MILLIS: u64 = 100;
-const MOST_RETRY_MILLIS: u64 = 2_000;
+/// Interval between reads of the box list.
+const LIST_INTERVAL_MILLIS: u64 = 1_000;
+/// Timeout of the box list's response.
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a handshake and the exchange of `Hello`.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Initial delay of reconnects, doubled up to [`MAX_RECONNECT_MILLIS`].
+const MIN_RECONNECT_MILLIS: u64 = 100;
+const MAX_RECONNECT_MILLIS: u64 = 2_000;
 
-/// Links of an entry box, and the revisions at their other ends.
+/// Open links of an entry box, with the last revision and status that each box reported.
 #[derive(Default)]
 pub struct Links {
     links: RefCell<BTreeMap<BoxKey, Link>>,
@@ -38,17 +38,17 @@
 }
 
 impl Links {
-    /// Link to a box, where it is up.
+    /// Returns the link to a box if it is up.
     pub fn get(&self, key: BoxKey) -> Option<Link> {
         self.links.borrow().get(&key).cloned()
     }
 
-    /// Boxes with links that are up.
+    /// Returns the boxes with open links.
     pub fn keys(&self) -> Vec<BoxKey> {
         self.links.borrow().keys().copied().collect()
     }
 
-    /// Revision in force at a box, as far as known.
+    /// Returns the last known revision of a box.
     pub fn revision(&self, key: BoxKey) -> Revision {
         self.revisions
             .borrow()
@@ -57,26 +57,26 @@
             .unwrap_or_default()
     }
 
-    /// Notes the revision in force at a box.
+    /// Raises the known revision of a box.
     pub fn record_revision(&self, key: BoxKey, revision: Revision) {
         let mut revisions = self.revisions.borrow_mut();
-        let held = revisions.entry(key).or_default();
-        *held = revision.max(*held);
+        let known_revision = revisions.entry(key).or_default();
+        *known_revision = revision.max(*known_revision);
     }
 
-    /// Last status of a backend server.
+    /// Returns the last status of a backend server.
     pub fn status(&self, key: BoxKey) -> Option<Status> {
         self.statuses.borrow().get(&key).cloned()
     }
 
-    fn up(&self, key: BoxKey, link: Link) {
+    fn insert(&self, key: BoxKey, link: Link) {
         self.links.borrow_mut().insert(key, link);
-        // Another run of the process may be behind.
+        // A restarted process may have an older revision.
         self.revisions.borrow_mut().remove(&key);
         self.statuses.borrow_mut().remove(&key);
     }
 
-    fn down(&self, key: BoxKey) {
+    fn remove(&self, key: BoxKey) {
         self.links.borrow_mut().remove(&key);
         self.revisions.borrow_mut().remove(&key);
         self.statuses.borrow_mut().remove(&key);
@@ -84,21 +84,22 @@
 }
 
 impl Entry {
-    /// Reads the box list and keeps links for as long as the process runs.
+    /// Spawns the task that reads the box list and maintains the links.
     pub fn spawn_link_maintenance(self: Rc<Self>) {
         actix_rt::spawn(async move {
             loop {
                 self.read_box_list().await;
-                self.clone().sweep_boxes();
-                clock::pause(LIST_MILLIS).await;
+                self.clone().remove_gone_boxes();
+                clock::pause(LIST_INTERVAL_MILLIS).await;
             }
         });
     }
 
     async fn read_box_list(self: &Rc<Self>) {
         let http = &self.process.http;
-        let read = box_list::read(http, &self.settings.box_list, LIST_PATIENCE, clock::now()).await;
-        let listed = match read {
+        let response =
+            box_list::read(http, &self.settings.box_list, LIST_TIMEOUT, clock::now()).await;
+        let listed = match response {
             Ok(listed) => listed,
             Err(error) => {
                 tracing::debug!(event = "box_list_lost", %error);
@@ -125,13 +126,13 @@
             } else {
                 Listing::Live
             };
-            keys.push(self.meet(&entry.name, role, &zone, &entry.address, listing));
+            keys.push(self.add_box(&entry.name, role, &zone, &entry.address, listing));
         }
         self.members.borrow_mut().record_list_end(&keys);
     }
 
-    /// Notes a box; a link to it is kept from now on, where it is new.
-    pub fn meet(
+    /// Adds or updates a box; starts to maintain a link to a new one.
+    pub fn add_box(
         self: &Rc<Self>,
         name: &Name,
         role: Role,
@@ -140,70 +141,72 @@
         listing: Listing,
     ) -> BoxKey {
         let known = self.members.borrow().key_of(name);
-        let before = known.map(|key| self.standing(key));
+        let before = known.map(|key| self.liveness(key));
         let key = self
             .members
             .borrow_mut()
             .record_listing(name, role, zone, address, listing);
-        if before != Some(self.standing(key)) {
-            self.refresh_standing(key);
-            self.boxes_changed();
+        if before != Some(self.liveness(key)) {
+            self.update_usability(key);
+            self.notify_boxes_changed();
         }
         if known.is_none() {
-            actix_rt::spawn(self.clone().keep_link(key));
+            actix_rt::spawn(self.clone().maintain_link(key));
         }
         key
     }
 
-    /// Gives or takes a server's engines their place in the pools.
-    pub fn refresh_standing(&self, key: BoxKey) {
-        let usable = self.standing(key) == Liveness::Alive;
+    /// Updates whether a backend server's engines may get requests.
+    pub fn update_usability(&self, key: BoxKey) {
+        let is_alive = self.liveness(key) == Liveness::Alive;
         let leaving = self.links.status(key).is_some_and(|status| status.leaving);
-        self.fleet.borrow_mut().set_usable(key, usable && !leaving);
+        self.fleet
+            .borrow_mut()
+            .set_usable(key, is_alive && !leaving);
     }
 
-    fn sweep_boxes(self: Rc<Self>) {
+    fn remove_gone_boxes(self: Rc<Self>) {
         let keys: Vec<BoxKey> = self.members.borrow().iter().map(|(key, _)| key).collect();
         for key in &keys {
-            self.refresh_standing(*key);
+            self.update_usability(*key);
         }
-        let gone = self.members.borrow_mut().remove_gone(clock::now());
-        for member in &gone {
+        let removed_members = self.members.borrow_mut().remove_gone(clock::now());
+        for member in &removed_members {
             tracing::info!(event = "box_gone", name = %member.name);
         }
         let members = self.members.borrow();
         for key in keys.iter().filter(|key| members.get(**key).is_none()) {
-            self.fleet.borrow_mut().forget(*key);
+            self.fleet.borrow_mut().remove_server(*key);
         }
         drop(members);
-        if !gone.is_empty() {
-            self.boxes_changed();
+        if !removed_members.is_empty() {
+            self.notify_boxes_changed();
         }
     }
 
-    /// Keeps a link to a box for as long as the box is known.
-    async fn keep_link(self: Rc<Self>, key: BoxKey) {
-        let mut pause = RETRY_MILLIS;
+    /// Connects to a box, and reconnects with backoff, until the box is removed.
+    async fn maintain_link(self: Rc<Self>, key: BoxKey) {
+        let mut delay_millis = MIN_RECONNECT_MILLIS;
         loop {
             let Some(member) = self.members.borrow().get(key).cloned() else {
                 return;
             };
-            match timeout(CONNECT_PATIENCE, self.greet(&member)).await {
+            match timeout(CONNECT_TIMEOUT, self.connect_and_exchange_hello(&member)).await {
                 Ok(Ok((link, hello))) => {
-                    pause = RETRY_MILLIS;
-                    self.clone().use_link(key, &member, link, &hello).await;
+                    delay_millis = MIN_RECONNECT_MILLIS;
+                    self.clone().run_link(key, &member, link, &hello).await;
                 }
                 Ok(Err(error)) => tracing::debug!(event = "box_unreachable", %error),
                 Err(_) => tracing::debug!(event = "box_silent", name = %member.name),
             }
-            clock::pause(pause).await;
-            pause = (2 * pause).min(MOST_RETRY_MILLIS);
+            clock::pause(delay_millis).await;
+            delay_millis = (2 * delay_millis).min(MAX_RECONNECT_MILLIS);
         }
     }
 
-    async fn greet(&self, member: &Member) -> Result<(Link, Hello), Error> {
+    async fn connect_and_exchange_hello(&self, member: &Member) -> Result<(Link, Hello), Error> {
         let address = member.address.parse();
-        let address = address.map_err(|what| Error::new(Step::Connect, &member.name, what))?;
+        let address = address.map_err(|cause| Error::new(Step::Connect, &member.name, cause))?;
         let peer = Identity {
             role: member.role,
             name: member.name.clone(),
@@ -216,47 +219,49 @@
             other => Err(Error::new(
                 Step::Receive,
                 &peer,
-                format!("{other:?} for a greeting"),
+                format!("expected Hello, received {other:?}"),
             )),
         }
     }
 
-    /// Works with a link until it is down.
-    async fn use_link(self: Rc<Self>, key: BoxKey, member: &Member, link: Link, hello: &Hello) {
+    /// Uses a new link until it is closed.
+    async fn run_link(self: Rc<Self>, key: BoxKey, member: &Member, link: Link, hello: &Hello) {
         let incarnation = hello.incarnation;
-        self.links.up(key, link.clone());
+        self.links.insert(key, link.clone());
         self.members
             .borrow_mut()
             .record_link_up(key, incarnation, clock::now());
         if hello.leaving {
             self.members.borrow_mut().record_leaving(key, incarnation);
         }
-        self.refresh_standing(key);
-        self.boxes_changed();
+        self.update_usability(key);
+        self.notify_boxes_changed();
         tracing::info!(event = "link_up", name = %member.name, incarnation = %incarnation);
         if member.role == Role::Backend {
-            let following = self.clone().follow(key, member.clone(), link.clone());
-            let informing = self
+            let reports = self
+                .clone()
+                .receive_reports(key, member.clone(), link.clone());
+            let updates = self
                 .clone()
-                .inform_server(key, member.name.clone(), link.clone());
-            actix_rt::spawn(following);
-            actix_rt::spawn(informing);
+                .keep_server_informed(key, member.name.clone(), link.clone());
+            actix_rt::spawn(reports);
+            actix_rt::spawn(updates);
         }
         link.closed().await;
-        self.links.down(key);
+        self.links.remove(key);
         self.members
             .borrow_mut()
             .record_link_down(key, clock::now());
-        self.refresh_standing(key);
+        self.update_usability(key);
         if member.role == Role::Entry {
             self.claims.borrow_mut().record_holder_lost(incarnation);
         }
-        self.boxes_changed();
+        self.notify_boxes_changed();
         tracing::warn!(event = "link_down", name = %member.name, incarnation = %incarnation);
     }
 
-    /// Takes a backend server's reports until its link is down.
-    async fn follow(self: Rc<Self>, key: BoxKey, member: Member, link: Link) {
+    /// Receives a backend server's status reports until its link is closed.
+    async fn receive_reports(self: Rc<Self>, key: BoxKey, member: Member, link: Link) {
         let reports = async {
             let mut stream = link.open().await?;
             stream
@@ -267,7 +272,7 @@
             stream.finish();
             loop {
                 if let Reply::Status(status) = stream.receive::<Reply>().await? {
-                    self.take_status(key, &member, status);
+                    self.record_status(key, &member, status);
                 }
             }
         };
@@ -277,22 +282,21 @@
         }
     }
 
-    fn take_status(&self, key: BoxKey, member: &Member, status: Status) {
+    fn record_status(&self, key: BoxKey, member: &Member, status: Status) {
         if status.leaving {
             let incarnation = self.members.borrow().get(key).and_then(Member::incarnation);
-            // A drain can be taken back; only the process's own end is for good, and its
-            // greeting and its closed link tell that.
+            // A drained server may return, so only a stopping one is recorded as leaving.
             if let (Some(incarnation), true) = (incarnation, self.is_stopping(&member.name)) {
                 self.members.borrow_mut().record_leaving(key, incarnation);
             }
         }
         self.links.record_revision(key, status.revision);
-        let usable = self.standing(key) == Liveness::Alive && !status.leaving;
+        let is_alive = self.liveness(key) == Liveness::Alive && !status.leaving;
         let mut fleet = self.fleet.borrow_mut();
-        fleet.take(key, &member.name, &member.zone, &status, usable);
+        fleet.record_status(key, &member.name, &member.zone, &status, is_alive);
         drop(fleet);
         self.links.statuses.borrow_mut().insert(key, status);
-        self.boxes_changed();
+        self.notify_boxes_changed();
     }
 
     fn is_stopping(&self, server: &Name) -> bool {
--- a/crates/gingerpier_daemon/src/entry/mod.rs
+++ b/crates/gingerpier_daemon/src/entry/mod.rs
@@ -1,8 +1,8 @@
-//! An entry box's process: callers, operators, routing, a share of control.
+//! Daemon of an entry box: serves callers and operators, routes requests and takes part in control.
 
+pub mod caller_request;
 pub mod callers;
 pub mod fleet;
-pub mod job;
 pub mod links;
 pub mod operators;
 pub mod peers;
@@ -36,43 +36,43 @@
     tokio::sync::watch,
 };
 
-/// Milliseconds between looks at whether all requests have ended.
-const DRAIN_LOOK_MILLIS: u64 = 50;
-/// Milliseconds between sweeps of what is old.
-const SWEEP_MILLIS: u64 = 5_000;
+/// Interval between checks whether all requests have ended during shutdown.
+const DRAIN_POLL_MILLIS: u64 = 50;
+/// Interval between removals of expired tickets.
+const EXPIRY_INTERVAL_MILLIS: u64 = 5_000;
 
-/// State that the subsystems of an entry box share.
+/// State shared by the subsystems of an entry box.
 pub struct Entry {
-    /// What both roles share.
+    /// State common to both roles.
     pub process: Rc<Process>,
-    /// Settings.
+    /// Settings of this entry box.
     pub settings: Settings,
-    /// Boxes known.
+    /// Known boxes.
     pub members: RefCell<Membership>,
-    /// Links to them, and what is known of their revisions.
+    /// Links to other boxes, with their revisions and statuses.
     pub links: Links,
-    /// Engines known, and the router.
+    /// Known engines and the router.
     pub fleet: RefCell<Fleet>,
-    /// Tickets issued here.
+    /// Tickets issued by this process and their claims.
     pub claims: RefCell<Claims>,
-    /// Limits of client accounts.
+    /// Rate limits and concurrency limits of client accounts.
     pub limits: RefCell<Limits>,
     accounts: RefCell<BTreeMap<Name, AccountKey>>,
-    /// Retry budget.
+    /// Limits attempts after the first to a share of all requests.
     pub budget: RefCell<Budget>,
-    /// The way to the key-value service.
+    /// Access to the key-value service.
     pub store: Store,
     in_flight: Cell<u64>,
-    /// Rises whenever a box comes, goes or changes.
+    /// Incremented when a known box is added, removed or changed.
     pub box_changes: watch::Sender<u64>,
 }
 
 impl Entry {
-    /// Runs an entry box until it is told to stop.
+    /// Runs an entry box until it is stopped.
     ///
     /// # Errors
     ///
-    /// Where it can't start.
+    /// Fails if the entry box can't start.
     pub async fn run(settings: Settings) -> Result<(), Error> {
         let process = Process::bind(Role::Entry, &settings.identity, settings.peers)?;
         let entry = Rc::new(Self::new(Rc::new(process), settings));
@@ -104,13 +104,13 @@
 
     fn new(process: Rc<Process>, settings: Settings) -> Self {
         let incarnation = process.hello.incarnation;
-        let life = settings.requests.ticket_life.0;
+        let lifetime_millis = settings.requests.ticket_life.0;
         let store = Store::new(&settings.key_value, process.http.clone());
         Self {
             members: RefCell::default(),
             links: Links::default(),
             fleet: RefCell::new(Fleet::new(incarnation.0)),
-            claims: RefCell::new(Claims::new(incarnation, fastrand::u64(..), life)),
+            claims: RefCell::new(Claims::new(incarnation, fastrand::u64(..), lifetime_millis)),
             limits: RefCell::default(),
             accounts: RefCell::default(),
             budget: RefCell::default(),
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Notes that a box came, went or changed.
-    pub fn boxes_changed(&self) {
+    /// Notifies tasks that a known box was added, removed or changed.
+    pub fn notify_boxes_changed(&self) {
         self.box_changes.send_modify(|changes| *changes += 1);
     }
 
-    /// Standing of a box, operators' word included.
-    pub fn standing(&self, key: BoxKey) -> Liveness {
+    /// Returns the liveness of a box; boxes that operators drain or stop count as leaving.
+    pub fn liveness(&self, key: BoxKey) -> Liveness {
         let members = self.members.borrow();
         let Some(member) = members.get(key) else {
             return Liveness::Gone;
@@ -136,12 +136,12 @@
         let catalogue = self.process.catalogue_state.catalogue();
         match members.liveness(key, clock::now()) {
             Liveness::Alive if catalogue.withdrawal(&member.name).is_some() => Liveness::Leaving,
-            standing => standing,
+            liveness => liveness,
         }
     }
 
-    /// Names of the entry boxes that are alive, this one among them; of one zone, where given.
-    pub fn live_entries(&self, zone: Option<&Name>) -> Vec<Name> {
+    /// Returns the names of alive entry boxes including this one, in all zones or in `zone`.
+    pub fn alive_entry_names(&self, zone: Option<&Name>) -> Vec<Name> {
         let members = self.members.borrow();
         let now = clock::now();
         let alive = members.iter().filter(|(key, member)| {
@@ -154,10 +154,10 @@
         names
     }
 
-    /// Place of this entry box in the rendezvous order of live ones for `subject`.
+    /// Returns the position of this entry box in the rendezvous order of alive ones for `subject`.
     pub fn rank(&self, subject: u64, zone: Option<&Name>) -> usize {
         use gingerpier_base::order;
-        let mut names = self.live_entries(zone);
+        let mut names = self.alive_entry_names(zone);
         order::sort_by_score(subject, &mut names, order::hash);
         names
             .iter()
@@ -165,7 +165,7 @@
             .unwrap_or(0)
     }
 
-    /// Key of an account's limits, with the rate that the catalogue gives it.
+    /// Returns the key of an account's limits, created or updated with the rate from the catalogue.
     pub fn account_key(&self, name: &Name, rate: u32) -> AccountKey {
         let mut limits = self.limits.borrow_mut();
         let mut accounts = self.accounts.borrow_mut();
@@ -176,24 +176,24 @@
         *key
     }
 
-    /// Engines' load and capacity, and how many entry boxes share it.
-    pub fn demand(&self) -> Utilization {
+    /// Returns the load and capacity of engines, and the number of entry boxes that share them.
+    pub fn utilization(&self) -> Utilization {
         let (load, capacity) = self.fleet.borrow().load_and_capacity();
         Utilization {
             load,
             capacity,
-            entry_boxes: self.live_entries(None).len() as u32,
+            entry_boxes: self.alive_entry_names(None).len() as u32,
         }
     }
 
-    /// Notes a request that starts.
-    pub fn begin_request(&self) {
+    /// Counts a request as in flight.
+    pub fn record_request_start(&self) {
         self.in_flight.set(self.in_flight.get() + 1);
         self.process.metrics.in_flight.inc();
     }
 
-    /// Notes a request that ended.
-    pub fn end_request(&self) {
+    /// Ends the count of a request.
+    pub fn record_request_end(&self) {
         self.in_flight.set(self.in_flight.get() - 1);
         self.process.metrics.in_flight.dec();
     }
@@ -201,7 +201,7 @@
     fn spawn_expiry(self: Rc<Self>) {
         actix_rt::spawn(async move {
             loop {
-                clock::pause(SWEEP_MILLIS).await;
+                clock::pause(EXPIRY_INTERVAL_MILLIS).await;
                 self.claims.borrow_mut().remove_expired(clock::now());
                 self.process
                     .metrics
@@ -211,11 +211,11 @@
         });
     }
 
-    /// Waits until all requests have ended, or would have been given up.
+    /// Waits until all requests have ended, at most for the longest timeout of a request.
     async fn drain(&self) {
         let deadline = clock::now().after_millis(self.settings.requests.patience.0);
         while self.in_flight.get() > 0 && !deadline.has_passed(clock::now()) {
-            clock::pause(DRAIN_LOOK_MILLIS).await;
+            clock::pause(DRAIN_POLL_MILLIS).await;
         }
         tracing::info!(event = "stopped", broken_off = self.in_flight.get());
     }
--- a/crates/gingerpier_daemon/src/entry/operators.rs
+++ b/crates/gingerpier_daemon/src/entry/operators.rs
@@ -1,7 +1,7 @@
-//! Operators' HTTPS: statements taken, answered, and put into force.
+//! HTTPS API for operators: executes statements and waits until changes have spread.
 
 use {
-    super::{Entry, store::Verdict},
+    super::{Entry, store::SubmitResult},
     crate::{
         clock,
         error::Error,
@@ -16,23 +16,23 @@
         server::{Certificate, TlsServer},
     },
     gingerpier_language::Statement,
-    gingerpier_link::{Credentials, Identity as Named},
+    gingerpier_link::{Credentials, Identity as PeerIdentity},
     gingerpier_membership::Liveness,
     rustls_pki_types::CertificateDer,
     std::{net::SocketAddr, rc::Rc},
 };
 
-/// The longest statement with what is around it.
-const LONGEST_BODY: usize = 1 << 20;
-/// Milliseconds between looks at who has a revision in force.
-const LOOK_MILLIS: u64 = 50;
+/// Limit on the size of a request body.
+const MAX_BODY_BYTES: usize = 1 << 20;
+/// Interval between checks which boxes have a revision.
+const POLL_INTERVAL_MILLIS: u64 = 50;
 
 impl Entry {
-    /// Serves operators for as long as the process runs; gives the address bound.
+    /// Binds and spawns the server; returns the bound address.
     ///
     /// # Errors
     ///
-    /// Where the address is taken, or the keys do not fit.
+    /// Fails if the address can't be bound, or the keys are unusable.
     pub async fn spawn_operator_server(self: Rc<Self>) -> Result<SocketAddr, Error> {
         let listener = listen(self.settings.operators)?;
         let address = listener.address();
@@ -43,10 +43,10 @@
         };
         let tls = self.process.credentials().server()?;
         let server = Rc::new(TlsServer::new(handler, tls).await);
-        let renewed = server.clone();
+        let renewed_server = server.clone();
         self.process
             .spawn_key_watcher(move |credentials: Rc<Credentials>| {
-                let server = renewed.clone();
+                let server = renewed_server.clone();
                 async move {
                     match credentials.server() {
                         Ok(tls) => server.renew(tls).await,
@@ -59,7 +59,7 @@
     }
 
     async fn serve_operator(self: Rc<Self>, mut request: Request) -> Answer {
-        let author = match operator(&request) {
+        let author = match authenticate_operator(&request) {
             Ok(author) => author,
             Err(why) => {
                 tracing::warn!(event = "operator_refused", why);
@@ -69,19 +69,19 @@
         if request.method() != Method::POST || request.path() != operate::PATH {
             return answer::text(404, &format!("operators ask POST {}", operate::PATH));
         }
-        match body::json::<Asked>(&mut request, LONGEST_BODY).await {
-            Ok(asked) => answer::json(200, &self.operate(&author, &asked).await),
+        match body::json::<Asked>(&mut request, MAX_BODY_BYTES).await {
+            Ok(request) => answer::json(200, &self.execute(&author, &request).await),
             Err(error) => answer::text(error.status(), &error.to_string()),
         }
     }
 
-    async fn operate(&self, author: &Named, asked: &Asked) -> Answered {
-        let Some(identity) = Identity::from_hex(&asked.identity) else {
-            return self.refused("the identity is not 32 hexadecimal digits".to_owned());
+    async fn execute(&self, author: &PeerIdentity, request: &Asked) -> Answered {
+        let Some(identity) = Identity::from_hex(&request.identity) else {
+            return self.refused_response("the identity is not 32 hexadecimal digits".to_owned());
         };
-        match gingerpier_language::parse(&asked.text) {
-            Err(error) => self.refused(error.to_string()),
-            Ok(Statement::Show(query)) => match self.answer_query(&query).await {
+        match gingerpier_language::parse(&request.text) {
+            Err(error) => self.refused_response(error.to_string()),
+            Ok(Statement::Show(query)) => match self.run_query(&query).await {
                 Ok(table) => Answered::Table {
                     revision: self.process.catalogue_state.revision().0,
                     key_value_reachable: self.store.is_reachable(),
@@ -89,14 +89,15 @@
                 },
                 Err(why) => Answered::Unavailable { why },
             },
-            Ok(Statement::DryRun(commands)) => self.try_out(&commands),
+            Ok(Statement::DryRun(commands)) => self.dry_run(&commands),
             Ok(Statement::Change(commands)) => {
-                self.command(author, identity, asked, commands).await
+                self.submit_commands(author, identity, request, commands)
+                    .await
             }
         }
     }
 
-    fn try_out(&self, commands: &[Command]) -> Answered {
+    fn dry_run(&self, commands: &[Command]) -> Answered {
         match self
             .process
             .catalogue_state
@@ -106,43 +107,43 @@
             Ok(next) => Answered::WouldAccept {
                 revision: next.revision().0,
             },
-            Err(error) => self.refused(error.to_string()),
+            Err(error) => self.refused_response(error.to_string()),
         }
     }
 
-    async fn command(
+    async fn submit_commands(
         &self,
-        author: &Named,
+        author: &PeerIdentity,
         identity: Identity,
-        asked: &Asked,
+        request: &Asked,
         commands: Vec<Command>,
     ) -> Answered {
         let entry = LogEntry {
             identity,
             author: author.name.to_string(),
             stamp: clock::stamp(),
-            text: asked.text.clone(),
+            text: request.text.clone(),
             commands,
         };
-        let verdict = self.submit(entry, None).await;
-        tracing::info!(event = "command", author = %author.name, text = asked.text,
-            identity = %identity, verdict = ?verdict);
-        match verdict {
-            Verdict::Accepted { revision, repeated } => {
-                let behind = self.wait_in_force(revision, asked.wait_millis).await;
+        let result = self.submit(entry, None).await;
+        tracing::info!(event = "command", author = %author.name, text = request.text,
+            identity = %identity, verdict = ?result);
+        match result {
+            SubmitResult::Accepted { revision, repeated } => {
+                let boxes_behind = self.wait_for_revision(revision, request.wait_millis).await;
                 Answered::Accepted {
                     revision: revision.0,
                     repeated,
-                    behind,
+                    behind: boxes_behind,
                 }
             }
-            Verdict::Refused(refusal) => self.refused(refusal.to_string()),
-            Verdict::Unavailable(why) => Answered::Unavailable { why },
-            Verdict::Unknown(why) => Answered::Unknown { why },
+            SubmitResult::Refused(refusal) => self.refused_response(refusal.to_string()),
+            SubmitResult::Unavailable(why) => Answered::Unavailable { why },
+            SubmitResult::Unknown(why) => Answered::Unknown { why },
         }
     }
 
-    fn refused(&self, why: String) -> Answered {
+    fn refused_response(&self, why: String) -> Answered {
         let last_change = self.process.catalogue_state.last_entry();
         Answered::Refused {
             why,
@@ -151,35 +152,37 @@
         }
     }
 
-    /// Waits until a revision is in force wherever it can be, and names who is behind.
-    async fn wait_in_force(&self, revision: Revision, wait_millis: u64) -> Vec<String> {
+    /// Waits until all reachable boxes have a revision; returns the names of those that don't by
+    /// the timeout.
+    async fn wait_for_revision(&self, revision: Revision, wait_millis: u64) -> Vec<String> {
         let deadline = clock::now().after_millis(wait_millis);
         loop {
-            let behind = self.behind(revision);
-            if behind.is_empty() || deadline.has_passed(clock::now()) {
-                return behind;
+            let boxes_behind = self.boxes_behind(revision);
+            if boxes_behind.is_empty() || deadline.has_passed(clock::now()) {
+                return boxes_behind;
             }
-            clock::pause(LOOK_MILLIS).await;
+            clock::pause(POLL_INTERVAL_MILLIS).await;
         }
     }
 
-    fn behind(&self, revision: Revision) -> Vec<String> {
+    fn boxes_behind(&self, revision: Revision) -> Vec<String> {
         let members = self.members.borrow();
-        let late = members.iter().filter(|(key, _)| {
-            self.standing(*key) != Liveness::Gone && self.links.revision(*key) < revision
+        let boxes = members.iter().filter(|(key, _)| {
+            self.liveness(*key) != Liveness::Gone && self.links.revision(*key) < revision
         });
-        late.map(|(_, member)| member.name.to_string()).collect()
+        boxes.map(|(_, member)| member.name.to_string()).collect()
     }
 }
 
-/// Who asks, by the certificate of the connection.
-fn operator(request: &Request) -> Result<Named, String> {
-    let shown = request.conn_data::<Certificate>();
-    let shown = shown.ok_or_else(|| "no certificate was shown".to_owned())?;
-    let certificate = CertificateDer::from(shown.0.as_slice());
-    let named = Named::from_certificate(&certificate).map_err(|error| error.to_string())?;
-    match named.role {
-        Role::Operator => Ok(named),
-        _ => Err(format!("{named} is no operator")),
+/// Returns the operator that the connection's certificate names.
+fn authenticate_operator(request: &Request) -> Result<PeerIdentity, String> {
+    let certificate_data = request.conn_data::<Certificate>();
+    let certificate_data =
+        certificate_data.ok_or_else(|| "the client sent no certificate".to_owned())?;
+    let certificate = CertificateDer::from(certificate_data.0.as_slice());
+    let peer = PeerIdentity::from_certificate(&certificate).map_err(|error| error.to_string())?;
+    match peer.role {
+        Role::Operator => Ok(peer),
+        _ => Err(format!("{peer} is not an operator")),
     }
 }
--- a/crates/gingerpier_daemon/src/entry/peers.rs
+++ b/crates/gingerpier_daemon/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! Links at an entry box: what other entry boxes ask of it.
+//! Links of an entry box: requests of other entry boxes.
 
 use {
     super::Entry,
@@ -11,7 +11,7 @@
 };
 
 impl Entry {
-    /// Serves links for as long as the process runs.
+    /// Spawns the task that accepts links.
     pub fn spawn_link_server(self: Rc<Self>) {
         actix_rt::spawn(async move {
             let entry = self.clone();
@@ -40,13 +40,13 @@
         };
         if link.peer().role != Role::Entry {
             tracing::warn!(event = "request_refused", peer = %link.peer(),
-                why = "the peer's role may not ask this");
+                why = "the peer's role does not permit this request");
             stream.reset();
             return;
         }
         let reply = match request {
             Request::Hello(hello) => {
-                self.greeted(&hello, link);
+                self.record_hello(&hello, link);
                 Reply::Hello(self.process.hello())
             }
             Request::Claim { ticket, holder } => {
@@ -67,16 +67,16 @@
                 Reply::News(self.process.catalogue_state.changes_since(revision))
             }
             Request::Inform(inform) => {
-                let zone = self.place_of(link).map(|(_, zone)| zone);
-                let own = zone.as_ref() == Some(&self.process.hello.zone);
-                let origin = if own {
+                let zone = self.member_of(link).map(|(_, zone)| zone);
+                let is_own_zone = zone.as_ref() == Some(&self.process.hello.zone);
+                let origin = if is_own_zone {
                     Origin::OwnZone
                 } else {
                     Origin::OtherZone
                 };
                 self.process.catalogue_state.apply_inform(&inform, origin);
                 if self.process.catalogue_state.revision() < inform.revision {
-                    self.fill_gap(link).await;
+                    self.request_missing_records(link).await;
                 }
                 Reply::Informed {
                     revision: self.process.catalogue_state.revision(),
@@ -87,17 +87,17 @@
                 return;
             }
         };
-        let served = stream.send(&reply).await;
-        finish_response(served, stream).await;
+        let result = stream.send(&reply).await;
+        finish_response(result, stream).await;
     }
 
-    /// A box that greets is met before the box list tells of it.
-    fn greeted(self: &Rc<Self>, hello: &Hello, link: &Link) {
+    /// Adds a box that connected before the box list contains it.
+    fn record_hello(self: &Rc<Self>, hello: &Hello, link: &Link) {
         if hello.name != link.peer().name || hello.leaving {
             return;
         }
         if self.members.borrow().key_of(&hello.name).is_none() {
-            self.meet(
+            self.add_box(
                 &hello.name,
                 hello.role,
                 &hello.zone,
@@ -107,13 +107,13 @@
         }
     }
 
-    async fn fill_gap(&self, link: &Link) {
-        if let Some((key, zone)) = self.place_of(link) {
+    async fn request_missing_records(&self, link: &Link) {
+        if let Some((key, zone)) = self.member_of(link) {
             self.sync_with(key, &zone).await;
         }
     }
 
-    fn place_of(&self, link: &Link) -> Option<(BoxKey, Zone)> {
+    fn member_of(&self, link: &Link) -> Option<(BoxKey, Zone)> {
         let members = self.members.borrow();
         let key = members.key_of(&link.peer().name)?;
         Some((key, members.get(key)?.zone.clone()))
--- a/crates/gingerpier_daemon/src/entry/planning.rs
+++ b/crates/gingerpier_daemon/src/entry/planning.rs
@@ -1,14 +1,13 @@
-//! Who plans, and how plans are put into force.
+//! Election of the planner, and the submission of its plans.
 //!
-//! One entry box at a time plans, under a lease in the key-value service, so that work is not
-//! done twice. Safety does not rest on the lease: every plan is a compare-and-swap on the head,
-//! and on the planner's key as its fence, so that a planner that was paused past its lease writes
-//! nothing.
+//! The entry box that holds a lease in the key-value service plans; the lease only avoids duplicate
+//! work. Safety comes from the writes: each is a compare-and-swap on the head and on the planner's
+//! key as a fence, so that a planner whose lease has expired can't write.
 
 use {
     super::{
         Entry,
-        store::{Fence, Verdict},
+        store::{Fence, SubmitResult},
     },
     crate::clock,
     gingerpier_base::order,
@@ -20,49 +19,50 @@
     std::rc::Rc,
 };
 
-/// Seconds of the planner's lease.
+/// Duration of the planner's lease.
 const LEASE_SECONDS: u64 = 6;
-/// Milliseconds between extensions of the lease, and between tries to get it.
-const LEASE_MILLIS: u64 = 2_000;
-/// Milliseconds between looks at what is to be planned.
-const LOOK_MILLIS: u64 = 200;
-/// Entry boxes that try to get the lease, by their rank.
-const CANDIDATES: usize = 2;
-/// What candidates are ranked for.
-const SUBJECT: &str = "planner";
+/// Interval between renewals of the lease, and between attempts to acquire it.
+const LEASE_RENEWAL_MILLIS: u64 = 2_000;
+/// Interval between plans.
+const PLAN_INTERVAL_MILLIS: u64 = 200;
+/// Number of entry boxes that try to acquire the lease, by rank.
+const MAX_CANDIDATES: usize = 2;
+/// Key of the lease; also the subject of the candidates' rendezvous order.
+const PLANNER_KEY: &str = "planner";
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct PlannerLease {
     lease: u64,
     fence: Fence,
 }
 
 impl Entry {
-    /// Plans for as long as the process runs, whenever the lease is held here.
+    /// Spawns the task that competes for the lease and plans while it holds it.
     pub fn spawn_planner(self: Rc<Self>) {
         actix_rt::spawn(async move {
             loop {
-                clock::pause(LEASE_MILLIS / 2).await;
-                if self.process.is_leaving() || self.rank(order::hash(SUBJECT), None) >= CANDIDATES
+                clock::pause(LEASE_RENEWAL_MILLIS / 2).await;
+                if self.process.is_leaving()
+                    || self.rank(order::hash(PLANNER_KEY), None) >= MAX_CANDIDATES
                 {
                     continue;
                 }
-                match self.take_lease().await {
-                    Ok(Some(held)) => self.plan_while(held).await,
+                match self.acquire_lease().await {
+                    Ok(Some(planner_lease)) => self.run_planner(planner_lease).await,
                     Ok(None) => {}
                     Err(error) => tracing::debug!(event = "no_lease", %error),
                 }
-                clock::pause(LEASE_MILLIS / 2).await;
+                clock::pause(LEASE_RENEWAL_MILLIS / 2).await;
             }
         });
     }
 
-    async fn take_lease(&self) -> Result<Option<Held>, Error> {
+    async fn acquire_lease(&self) -> Result<Option<PlannerLease>, Error> {
         let store = &self.store;
-        let key = store.key(SUBJECT);
+        let key = store.key(PLANNER_KEY);
         self.process.metrics.key_value_calls.inc();
         if store
-            .note(store.client().get(&key, clock::now()).await)?
+            .record_result(store.client().get(&key, clock::now()).await)?
             .is_some()
         {
             return Ok(None);
@@ -72,16 +72,17 @@
             .client()
             .grant_lease(LEASE_SECONDS, clock::now())
             .await;
-        let lease = store.note(lease)?;
+        let lease = store.record_result(lease)?;
         let name = self.process.hello.name.to_string().into_bytes();
         let change = Change::default()
             .guard(&key, 0)
             .put_leased(&key, name.clone(), lease);
-        // A lost answer is settled by the read: only this lease's key is ours.
+        // The read decides if the response of the commit is lost: only this lease's holder writes
+        // this value.
         let _ = store.client().commit(&change, clock::now()).await;
-        let read = store.note(store.client().get(&key, clock::now()).await)?;
-        let own = read.filter(|item| item.value == name);
-        Ok(own.map(|item| Held {
+        let stored = store.record_result(store.client().get(&key, clock::now()).await)?;
+        let own_item = stored.filter(|item| item.value == name);
+        Ok(own_item.map(|item| PlannerLease {
             lease,
             fence: Fence {
                 changed: item.changed,
@@ -89,38 +90,41 @@
         }))
     }
 
-    async fn plan_while(&self, held: Held) {
-        tracing::info!(event = "planning", fence = held.fence.changed);
+    async fn run_planner(&self, planner_lease: PlannerLease) {
+        tracing::info!(event = "planning", fence = planner_lease.fence.changed);
         let mut planner = Planner::new(Policy::default());
-        let mut keep_at = clock::now().after_millis(LEASE_MILLIS);
+        let mut renew_at = clock::now().after_millis(LEASE_RENEWAL_MILLIS);
         loop {
             if self.process.is_leaving() {
                 return;
             }
-            if keep_at.has_passed(clock::now()) {
-                keep_at = clock::now().after_millis(LEASE_MILLIS);
+            if renew_at.has_passed(clock::now()) {
+                renew_at = clock::now().after_millis(LEASE_RENEWAL_MILLIS);
                 self.process.metrics.key_value_calls.inc();
-                let kept = self
+                let renewed = self
                     .store
                     .client()
-                    .keep_lease(held.lease, clock::now())
+                    .keep_lease(planner_lease.lease, clock::now())
                     .await;
-                // While the service is down nothing can be planned; the fence stands or falls
-                // with the key, and the next write finds out.
-                if let Ok(false) = self.store.note(kept) {
-                    tracing::warn!(event = "lease_lapsed", fence = held.fence.changed);
+                // Planning continues if the service is unreachable; the fence of the next write
+                // decides.
+                if let Ok(false) = self.store.record_result(renewed) {
+                    tracing::warn!(event = "lease_lapsed", fence = planner_lease.fence.changed);
                     return;
                 }
             }
-            if !self.plan_once(&mut planner, held.fence).await {
-                tracing::warn!(event = "planner_fenced", fence = held.fence.changed);
+            if !self.plan_once(&mut planner, planner_lease.fence).await {
+                tracing::warn!(
+                    event = "planner_fenced",
+                    fence = planner_lease.fence.changed
+                );
                 return;
             }
-            clock::pause(LOOK_MILLIS).await;
+            clock::pause(PLAN_INTERVAL_MILLIS).await;
         }
     }
 
-    /// Plans once; false where the fence has passed to another.
+    /// Submits one plan; returns false if another planner holds the fence.
     async fn plan_once(&self, planner: &mut Planner, fence: Fence) -> bool {
         let catalogue = self.process.catalogue_state.catalogue();
         let commands = planner.plan(&catalogue, &self.engine_states(), clock::now());
@@ -135,12 +139,12 @@
             commands,
         };
         match self.submit(entry, Some(fence)).await {
-            Verdict::Unavailable(why) => why != "fenced",
-            Verdict::Refused(refusal) => {
+            SubmitResult::Unavailable(why) => why != "fenced",
+            SubmitResult::Refused(refusal) => {
                 tracing::debug!(event = "plan_refused", %refusal);
                 true
             }
-            Verdict::Accepted { .. } | Verdict::Unknown(_) => true,
+            SubmitResult::Accepted { .. } | SubmitResult::Unknown(_) => true,
         }
     }
 
@@ -152,8 +156,8 @@
             server: engine.server_name.clone(),
             zone: engine.zone.name.clone(),
             kind: engine.status.kind.clone(),
-            is_usable: engine.usable
-                && self.standing(engine.server) == Liveness::Alive
+            is_usable: engine.is_usable
+                && self.liveness(engine.server) == Liveness::Alive
                 && engine.status.phase != Phase::Down,
             loaded_weights: engine.status.weights,
             loaded_adapters: engine.status.adapters.clone(),
@@ -163,7 +167,7 @@
 }
 
 fn describe(commands: &[Command]) -> String {
-    let words = commands.iter().map(|command| match command {
+    let descriptions = commands.iter().map(|command| match command {
         Command::Assign {
             engine,
             model,
@@ -182,5 +186,5 @@
         }
         other => format!("{other:?}"),
     });
-    words.collect::<Vec<_>>().join("; ")
+    descriptions.collect::<Vec<_>>().join("; ")
 }
--- a/crates/gingerpier_daemon/src/entry/queries.rs
+++ b/crates/gingerpier_daemon/src/entry/queries.rs
@@ -1,9 +1,9 @@
-//! Answers to operators' queries.
+//! Results of operators' queries.
 
 use {
     super::{
         Entry,
-        fleet::{Engine, Offer},
+        fleet::{Engine, Workload},
     },
     crate::table::Table,
     gingerpier_base::{Digest, Name, Stamp},
@@ -13,27 +13,27 @@
     std::time::{Duration, UNIX_EPOCH},
 };
 
-/// Whether a part of a filter holds; one that is not given does.
-fn holds(wanted: Option<&Name>, found: &Name) -> bool {
-    wanted.is_none_or(|wanted| wanted == found)
+/// Returns true if a filter isn't set or equals the value.
+fn matches_filter(is_selected: Option<&Name>, found: &Name) -> bool {
+    is_selected.is_none_or(|is_selected| is_selected == found)
 }
 
-fn or_dash<T: ToString>(value: Option<T>) -> String {
+fn format_or_dash<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
 
-fn time(stamp: Stamp) -> String {
+fn format_time(stamp: Stamp) -> String {
     let time = UNIX_EPOCH + Duration::from_millis(stamp.as_unix_millis());
     humantime::format_rfc3339_millis(time).to_string()
 }
 
 impl Entry {
-    /// Answers a query.
+    /// Runs a query.
     ///
     /// # Errors
     ///
-    /// Says why it can't be answered now.
-    pub async fn answer_query(&self, query: &Query) -> Result<Table, String> {
+    /// Returns the reason if the key-value service can't be read.
+    pub async fn run_query(&self, query: &Query) -> Result<Table, String> {
         let catalogue = self.process.catalogue_state.catalogue();
         let filter = &query.filter;
         Ok(match query.subject {
@@ -94,23 +94,23 @@
         ]);
         for (_, model) in catalogue
             .models()
-            .filter(|(_, held)| holds(filter.model.as_ref(), &held.name))
+            .filter(|(_, assignment)| matches_filter(filter.model.as_ref(), &assignment.name))
         {
             let Some(rollout) = &model.rollout else {
                 continue;
             };
             let version = catalogue.version(rollout.to);
             let base = version.base.unwrap_or(rollout.to);
-            let serving = self
+            let serving_count = self
                 .fleet
                 .borrow()
-                .serving(&Offer::WeightsCache(version.manifest));
+                .serving_count(&Workload::WeightsCache(version.manifest));
             let replicas: u32 = model
                 .contracts
                 .iter()
                 .map(|contract| contract.replicas)
                 .sum();
-            let slowest = self.slowest(catalogue, base);
+            let slowest_server = self.slowest_server(catalogue, base);
             let steps: Vec<String> = rollout.steps.iter().map(u8::to_string).collect();
             table.push([
                 model.name.to_string(),
@@ -118,32 +118,36 @@
                 steps.join(","),
                 rollout.reached.to_string(),
                 if rollout.paused { "held" } else { "running" }.to_owned(),
-                serving.to_string(),
+                serving_count.to_string(),
                 replicas.to_string(),
-                slowest.as_ref().map_or(0, |(_, left)| *left).to_string(),
-                or_dash(slowest.map(|(name, _)| name)),
+                slowest_server
+                    .as_ref()
+                    .map_or(0, |(_, missing_chunks)| *missing_chunks)
+                    .to_string(),
+                format_or_dash(slowest_server.map(|(name, _)| name)),
                 rollout.since.to_string(),
             ]);
         }
         table
     }
 
-    /// Backend server that lacks the most chunks of a version, and how many.
-    fn slowest(&self, catalogue: &Catalogue, version: VersionKey) -> Option<(Name, u32)> {
+    /// Returns the backend server with the most missing chunks of a version, and their number.
+    fn slowest_server(&self, catalogue: &Catalogue, version: VersionKey) -> Option<(Name, u32)> {
         let fleet = self.fleet.borrow();
         let assigned = fleet.engines().filter(|(_, engine)| {
-            let held = catalogue.assignments().get(&engine.status.name);
-            held.is_some_and(|held| held.version == version)
+            let assignment = catalogue.assignments().get(&engine.status.name);
+            assignment.is_some_and(|assignment| assignment.version == version)
         });
-        let left = assigned.map(|(_, engine)| {
+        let missing_chunks = assigned.map(|(_, engine)| {
             let status = &engine.status;
             (
                 engine.server_name.clone(),
                 status.chunks_wanted - status.chunks_held,
             )
         });
-        left.filter(|(_, left)| *left > 0)
-            .max_by_key(|(_, left)| *left)
+        missing_chunks
+            .filter(|(_, missing_chunks)| *missing_chunks > 0)
+            .max_by_key(|(_, missing_chunks)| *missing_chunks)
     }
 
     fn boxes(&self, filter: &Filter) -> Table {
@@ -156,20 +160,20 @@
             "address",
             "incarnation",
         ]);
-        let me = &self.process.hello;
-        let standing = if self.process.is_leaving() {
+        let own = &self.process.hello;
+        let liveness = if self.process.is_leaving() {
             "leaving"
         } else {
             "alive"
         };
         table.push([
-            me.name.to_string(),
-            me.role.to_string(),
-            me.zone.region.to_string(),
-            me.zone.name.to_string(),
-            standing.to_owned(),
-            me.address.clone(),
-            me.incarnation.to_string(),
+            own.name.to_string(),
+            own.role.to_string(),
+            own.zone.region.to_string(),
+            own.zone.name.to_string(),
+            liveness.to_owned(),
+            own.address.clone(),
+            own.incarnation.to_string(),
         ]);
         for (key, member) in self.members.borrow().iter() {
             table.push([
@@ -177,17 +181,17 @@
                 member.role.to_string(),
                 member.zone.region.to_string(),
                 member.zone.name.to_string(),
-                self.standing(key).as_str().to_owned(),
+                self.liveness(key).as_str().to_owned(),
                 member.address.clone(),
-                or_dash(member.incarnation()),
+                format_or_dash(member.incarnation()),
             ]);
         }
-        let wanted = |row: &Vec<String>| {
+        let is_selected = |row: &Vec<String>| {
             let cell =
                 |name: Option<&Name>, cell: &String| name.is_none_or(|name| name.as_str() == cell);
             cell(filter.zone.as_ref(), &row[3]) && cell(filter.server.as_ref(), &row[0])
         };
-        table.rows.retain(wanted);
+        table.rows.retain(is_selected);
         table.rows.sort();
         table
     }
@@ -195,8 +199,8 @@
     fn revisions(&self, filter: &Filter) -> Table {
         let mut table = Table::new(&["box", "zone", "revision", "behind_by"]);
         let latest = self.process.catalogue_state.revision();
-        let me = &self.process.hello;
-        let own = (me.name.clone(), me.zone.name.clone(), latest);
+        let own = &self.process.hello;
+        let own = (own.name.clone(), own.zone.name.clone(), latest);
         let members = self.members.borrow();
         let others = members.iter().map(|(key, member)| {
             (
@@ -206,7 +210,9 @@
             )
         });
         for (name, zone, revision) in std::iter::once(own).chain(others) {
-            if holds(filter.zone.as_ref(), &zone) && holds(filter.server.as_ref(), &name) {
+            if matches_filter(filter.zone.as_ref(), &zone)
+                && matches_filter(filter.server.as_ref(), &name)
+            {
                 let behind = latest.0.saturating_sub(revision.0);
                 table.push([
                     name.to_string(),
@@ -230,7 +236,7 @@
             for entry in &record.entries {
                 table.push([
                     record.revision.to_string(),
-                    time(entry.stamp),
+                    format_time(entry.stamp),
                     entry.author.clone(),
                     entry.identity.to_string(),
                     entry.text.clone(),
@@ -244,7 +250,7 @@
 fn models(catalogue: &Catalogue, filter: &Filter) -> Table {
     let mut table = Table::new(&["model", "kind", "base", "live", "previous", "rollout"]);
     for (_, model) in catalogue.models() {
-        if !holds(filter.model.as_ref(), &model.name) {
+        if !matches_filter(filter.model.as_ref(), &model.name) {
             continue;
         }
         let name = |key: VersionKey| catalogue.version(key).name.to_string();
@@ -252,14 +258,14 @@
         table.push([
             model.name.to_string(),
             model.kind.to_string(),
-            or_dash(model.base.map(|base| catalogue.model(base).name.clone())),
+            format_or_dash(model.base.map(|base| catalogue.model(base).name.clone())),
             if live.is_empty() {
                 "-".to_owned()
             } else {
                 live.join(",")
             },
-            or_dash(model.previous.map(name)),
-            or_dash(model.rollout.as_ref().map(|rollout| name(rollout.to))),
+            format_or_dash(model.previous.map(name)),
+            format_or_dash(model.rollout.as_ref().map(|rollout| name(rollout.to))),
         ]);
     }
     table
@@ -271,15 +277,15 @@
     ]);
     for (key, version) in catalogue.versions() {
         let model = catalogue.model(version.model);
-        let wanted = holds(filter.model.as_ref(), &model.name)
-            && holds(filter.version.as_ref(), &version.name);
-        if wanted {
+        let is_selected = matches_filter(filter.model.as_ref(), &model.name)
+            && matches_filter(filter.version.as_ref(), &version.name);
+        if is_selected {
             table.push([
                 model.name.to_string(),
                 version.name.to_string(),
                 version_state(model, key).to_owned(),
                 version.bytes.to_string(),
-                or_dash(
+                format_or_dash(
                     version
                         .base
                         .map(|base| catalogue.version(base).name.clone()),
@@ -313,9 +319,9 @@
     let mut table = Table::new(&["model", "zone", "replicas", "accounts"]);
     for (_, model) in catalogue.models() {
         for contract in &model.contracts {
-            let wanted = holds(filter.model.as_ref(), &model.name)
-                && holds(filter.zone.as_ref(), &contract.zone);
-            if wanted {
+            let is_selected = matches_filter(filter.model.as_ref(), &model.name)
+                && matches_filter(filter.zone.as_ref(), &contract.zone);
+            if is_selected {
                 let names: Vec<String> = contract.accounts.iter().map(Name::to_string).collect();
                 table.push([
                     model.name.to_string(),
@@ -333,10 +339,10 @@
     table
 }
 
-/// An engine with the versions that it holds and is to hold.
+/// Engine with its loaded and assigned versions.
 struct EngineRow<'a> {
     engine: &'a Engine,
-    holds: Vec<VersionKey>,
+    loaded: Vec<VersionKey>,
     assigned: Option<VersionKey>,
 }
 
@@ -344,12 +350,12 @@
     fn of(catalogue: &Catalogue, engine: &'a Engine) -> Self {
         let status = &engine.status;
         let manifests = status.weights.iter().chain(&status.adapters);
-        let known = |digest: &Digest| catalogue.version_of_digest(*digest);
+        let version_of = |digest: &Digest| catalogue.version_of_digest(*digest);
         let assigned = catalogue.assignments().get(&status.name);
         Self {
             engine,
-            holds: manifests.filter_map(known).collect(),
-            assigned: assigned.map(|held| held.version),
+            loaded: manifests.filter_map(version_of).collect(),
+            assigned: assigned.map(|assignment| assignment.version),
         }
     }
 
@@ -362,52 +368,56 @@
             ..
         } = &query.filter;
         let status = &self.engine.status;
-        let draining = !self.engine.usable || status.phase == Phase::Draining;
+        let draining = !self.engine.is_usable || status.phase == Phase::Draining;
         let loading = status.chunks_held < status.chunks_wanted || status.phase == Phase::Loading;
-        let subject = match query.subject {
-            Subject::Loaded => !self.holds.is_empty(),
+        let is_in_subject = match query.subject {
+            Subject::Loaded => !self.loaded.is_empty(),
             Subject::Loading => loading,
-            Subject::Live => !draining && self.holds.iter().any(|key| is_open(catalogue, *key)),
+            Subject::Live => !draining && self.loaded.iter().any(|key| is_open(catalogue, *key)),
             Subject::Draining => draining,
             _ => true,
         };
-        let named = |key: &VersionKey| {
-            let held = catalogue.version(*key);
-            holds(model.as_ref(), &catalogue.model(held.model).name)
-                && holds(version.as_ref(), &held.name)
+        let has_name = |key: &VersionKey| {
+            let assignment = catalogue.version(*key);
+            matches_filter(model.as_ref(), &catalogue.model(assignment.model).name)
+                && matches_filter(version.as_ref(), &assignment.name)
         };
-        let any_version = model.is_none() && version.is_none();
-        subject
-            && holds(zone.as_ref(), &self.engine.zone.name)
-            && holds(server.as_ref(), &self.engine.server_name)
-            && (any_version || self.holds.iter().chain(&self.assigned).any(named))
+        let is_unfiltered = model.is_none() && version.is_none();
+        is_in_subject
+            && matches_filter(zone.as_ref(), &self.engine.zone.name)
+            && matches_filter(server.as_ref(), &self.engine.server_name)
+            && (is_unfiltered || self.loaded.iter().chain(&self.assigned).any(has_name))
     }
 
     fn cells(&self, catalogue: &Catalogue) -> [String; 12] {
         let status = &self.engine.status;
-        let held: Vec<String> = self.holds.iter().map(|key| catalogue.label(*key)).collect();
+        let assignment: Vec<String> = self
+            .loaded
+            .iter()
+            .map(|key| catalogue.label(*key))
+            .collect();
         [
             status.name.to_string(),
             self.engine.server_name.to_string(),
             self.engine.zone.name.to_string(),
             status.kind.to_string(),
-            if self.engine.usable {
+            if self.engine.is_usable {
                 status.phase.as_str()
             } else {
                 "unusable"
             }
             .to_owned(),
-            if held.is_empty() {
+            if assignment.is_empty() {
                 "-".to_owned()
             } else {
-                held.join(",")
+                assignment.join(",")
             },
-            or_dash(self.assigned.map(|key| catalogue.label(key))),
+            format_or_dash(self.assigned.map(|key| catalogue.label(key))),
             format!("{}/{}", status.chunks_held, status.chunks_wanted),
             status.origin_bytes.to_string(),
             status.peer_bytes.to_string(),
             format!("{}/{}", status.others, status.capacity),
-            or_dash(status.trouble.clone()),
+            format_or_dash(status.trouble.clone()),
         ]
     }
 }
--- a/crates/gingerpier_daemon/src/entry/requests.rs
+++ b/crates/gingerpier_daemon/src/entry/requests.rs
@@ -1,9 +1,11 @@
-//! One request driven along its course: chosen, sent, answered, tried again, given up.
+//! Forwards one request: selects an engine, sends attempts, relays the response and retries.
 
 use {
     super::{
         Entry,
-        job::{Admitted, Job, Outlet, Part, Target, Word},
+        caller_request::{
+            AdmittedVersion, BodyPart, CallerRequest, ResponseSender, ResponseStart, Target,
+        },
     },
     crate::{clock, metrics::OutcomeLabel},
     bytes::{Bytes, BytesMut},
@@ -24,88 +26,99 @@
     tokio::sync::mpsc,
 };
 
-/// Engines that may refuse a request because they could not run it at once, before it is queued.
-const MOST_BOUNCES: usize = 6;
-/// Milliseconds for a door to answer a revocation.
-const REVOKE_MILLIS: u64 = 3_000;
-/// Milliseconds between looks for a link that is to come up again.
-const LOOK_MILLIS: u64 = 50;
-/// Bytes read from a door at once.
-const PART_BYTES: usize = 64 << 10;
-/// Milliseconds to come back after where no engine holds the version.
-const NO_ENGINE_MILLIS: u64 = 1_000;
+/// Limit on engines that refuse a request because it can't start at once, before it may be queued.
+const MAX_QUEUEING_REFUSALS: usize = 6;
+/// Timeout of a backend server's response to a revocation.
+const REVOKE_TIMEOUT_MILLIS: u64 = 3_000;
+/// Interval between checks for a re-established link.
+const LINK_POLL_MILLIS: u64 = 50;
+/// Bytes read from a link at once.
+const READ_BYTES: usize = 64 << 10;
+/// Retry delay of the caller if no engine has the version.
+const RETRY_AFTER_MILLIS: u64 = 1_000;
 /// End of an event in an event stream.
 const EVENT_END: &[u8] = b"\n\n";
 /// Content type of an event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// An engine chosen for an attempt, and the way to it.
+/// Engine chosen for an attempt, with its backend server.
 #[derive(Debug, Clone)]
-struct Choice {
+struct EngineChoice {
     engine: EngineKey,
     name: Name,
     server: BoxKey,
     incarnation: Incarnation,
-    admitted: Option<Admitted>,
+    admitted: Option<AdmittedVersion>,
 }
 
-/// What has been passed on of an answer.
+/// Part of the response that was forwarded to the caller.
 #[derive(Default)]
-struct Passed {
-    head: bool,
-    events: u64,
-    /// Bytes of an event whose end has not come.
-    pending: BytesMut,
-    event_stream: bool,
+struct ForwardedResponse {
+    has_head: bool,
+    event_count: u64,
+    /// Bytes of an incomplete event.
+    incomplete_event: BytesMut,
+    is_event_stream: bool,
 }
 
-struct Drive {
+/// State of one request while it is forwarded.
+struct Forwarder {
     entry: Rc<Entry>,
-    job: Job,
-    outlet: Outlet,
+    caller_request: CallerRequest,
+    response_sender: ResponseSender,
     lifecycle: Lifecycle,
+    /// Engines that got an attempt; not selected again.
     tried: Vec<EngineKey>,
-    /// Engines that could not run it at once, while one is looked for that can.
-    bounced: Vec<EngineKey>,
-    /// True while an engine is looked for that runs it at once.
-    seeking: bool,
-    choice: Option<Choice>,
-    passed: Passed,
+    /// Engines that could not start the request at once; not selected again while others may.
+    refused_queueing: Vec<EngineKey>,
+    /// True while only an engine that can start the request at once is accepted.
+    avoids_queueing: bool,
+    choice: Option<EngineChoice>,
+    forwarded: ForwardedResponse,
     attempts: u32,
 }
 
 impl Entry {
-    /// Drives a request to its end.
-    pub async fn drive(self: Rc<Self>, job: Job, outlet: Outlet) {
-        self.begin_request();
+    /// Forwards a request until its response ends.
+    pub async fn forward(
+        self: Rc<Self>,
+        caller_request: CallerRequest,
+        response_sender: ResponseSender,
+    ) {
+        self.record_request_start();
         self.budget.borrow_mut().record_first_attempt();
-        let resumable = matches!(job.target, Target::Model(_));
-        let tries = self.settings.requests.tries;
-        let lifecycle = Lifecycle::new(job.idempotency, job.deadline, tries, resumable);
-        let drive = Drive {
+        let resumable = matches!(caller_request.target, Target::Model(_));
+        let max_attempts = self.settings.requests.max_attempts;
+        let lifecycle = Lifecycle::new(
+            caller_request.idempotency,
+            caller_request.deadline,
+            max_attempts,
+            resumable,
+        );
+        let forwarder = Forwarder {
             entry: self.clone(),
-            job,
-            outlet,
+            caller_request,
+            response_sender,
             lifecycle,
             tried: Vec::new(),
-            bounced: Vec::new(),
-            seeking: true,
+            refused_queueing: Vec::new(),
+            avoids_queueing: true,
             choice: None,
-            passed: Passed::default(),
+            forwarded: ForwardedResponse::default(),
             attempts: 0,
         };
-        drive.run().await;
-        self.end_request();
+        forwarder.run().await;
+        self.record_request_end();
     }
 }
 
-impl Drive {
+impl Forwarder {
     async fn run(mut self) {
         let mut actions = [Some(Action::SelectEngine), None];
         loop {
             let mut event = None;
             for action in actions.into_iter().flatten() {
-                match self.carry_out(action).await {
+                match self.execute(action).await {
                     Some(next) => event = Some(next),
                     None => continue,
                 }
@@ -113,7 +126,7 @@
             let Some(event) = event else { break };
             actions = self.step(event);
         }
-        let account = self.job.account_key;
+        let account = self.caller_request.account_key;
         self.entry.limits.borrow_mut().record_request_end(account);
     }
 
@@ -126,47 +139,50 @@
         self.lifecycle.step(event, key, clock::now())
     }
 
-    /// Does what the course says; an event follows unless the word was final.
-    async fn carry_out(&mut self, action: Action) -> Option<Event> {
+    /// Executes an action of the lifecycle; returns the resulting event, or `None` after a final
+    /// action.
+    async fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::SelectEngine | Action::Resume => Some(self.choose()),
+            Action::SelectEngine | Action::Resume => Some(self.select_engine()),
             Action::Send(key) => Some(self.attempt(key).await),
             Action::Revoke(key) => self.revoke(key).await,
             Action::ReportNotRun(reason) => {
                 self.settle(Settlement::NotRun).await;
-                self.end("not_run", Some(reason));
-                self.outlet.say(Word::NotRun(reason));
+                self.record_outcome("not_run", Some(reason));
+                self.response_sender
+                    .send_start(ResponseStart::NotRun(reason));
                 None
             }
             Action::ReportUnknown(reason) => {
                 self.settle(Settlement::Unknown).await;
-                self.end("unknown", Some(reason));
-                self.outlet.say(Word::Unknown(reason));
+                self.record_outcome("unknown", Some(reason));
+                self.response_sender
+                    .send_start(ResponseStart::Unknown(reason));
                 None
             }
             Action::AbortResponse(reason) => {
                 self.settle(Settlement::Unknown).await;
-                self.end("broken_off", Some(reason));
-                self.outlet.pass(Part::Broken).await;
+                self.record_outcome("broken_off", Some(reason));
+                self.response_sender.send_part(BodyPart::Aborted).await;
                 None
             }
             Action::Complete => {
                 self.settle(Settlement::Answered).await;
-                self.end("answered", None);
-                self.outlet.pass(Part::End).await;
+                self.record_outcome("answered", None);
+                self.response_sender.send_part(BodyPart::End).await;
                 None
             }
         }
     }
 
     async fn settle(&self, settlement: Settlement) {
-        if let Some(grant) = self.job.grant {
+        if let Some(grant) = self.caller_request.grant {
             self.entry.settle(grant, settlement).await;
         }
     }
 
-    fn end(&self, outcome: &str, reason: Option<Reason>) {
-        let account = self.job.account.to_string();
+    fn record_outcome(&self, outcome: &str, reason: Option<Reason>) {
+        let account = self.caller_request.account.to_string();
         let label = OutcomeLabel {
             outcome: outcome.to_owned(),
             account,
@@ -178,73 +194,78 @@
             .get_or_create(&label)
             .inc();
         let reason = reason.map(|reason| format!("{reason:?}"));
-        tracing::info!(event = "request_ended", request = self.job.request, outcome,
-            account = %self.job.account, attempts = self.attempts, reason);
+        tracing::info!(event = "request_ended", request = self.caller_request.request, outcome,
+            account = %self.caller_request.account, attempts = self.attempts, reason);
     }
 
-    fn choose(&mut self) -> Event {
+    fn select_engine(&mut self) -> Event {
         let now = clock::now();
-        // Only a request that may have run costs of the budget: a refusal at the door is cheap.
+        // Only attempts after one that may have run use the retry budget, as a refusal costs
+        // little.
         if self.lifecycle.may_have_run() {
             if !self.entry.budget.borrow_mut().try_spend() {
-                return Event::NoneFree(now.after_millis(NO_ENGINE_MILLIS));
+                return Event::NoneFree(now.after_millis(RETRY_AFTER_MILLIS));
             }
             self.entry.process.metrics.retries.inc();
         }
-        if self.seeking {
-            let excluded = [self.tried.as_slice(), &self.bounced].concat();
-            if let Ok(event) = self.choose_from(&excluded) {
+        if self.avoids_queueing {
+            let excluded = [self.tried.as_slice(), &self.refused_queueing].concat();
+            if let Ok(event) = self.select_engine_except(&excluded) {
                 return event;
             }
-            self.seeking = false;
+            self.avoids_queueing = false;
         }
         let tried = self.tried.clone();
-        match self.choose_from(&tried) {
+        match self.select_engine_except(&tried) {
             Ok(event) => event,
             Err(Refusal::Full(at)) => Event::NoneFree(at),
-            // All engines were tried: a second round is no better than coming back.
-            Err(Refusal::NoEngine) => Event::NoneFree(now.after_millis(NO_ENGINE_MILLIS)),
+            // All engines were tried; the caller should retry later.
+            Err(Refusal::NoEngine) => Event::NoneFree(now.after_millis(RETRY_AFTER_MILLIS)),
         }
     }
 
-    fn choose_from(&mut self, excluded: &[EngineKey]) -> Result<Event, Refusal> {
-        // Once an answer has begun, only the same version may go on with it.
-        let held = self.choice.as_ref().and_then(|choice| choice.admitted);
-        let held = held.filter(|_| self.passed.head);
-        let (admitted, pools) = self.entry.pools_for(&self.job, held, excluded);
+    fn select_engine_except(&mut self, excluded: &[EngineKey]) -> Result<Event, Refusal> {
+        // After the response has started, only the same version may continue it.
+        let required_version = self.choice.as_ref().and_then(|choice| choice.admitted);
+        let required_version = required_version.filter(|_| self.forwarded.has_head);
+        let (admitted, pools) =
+            self.entry
+                .pools_for(&self.caller_request, required_version, excluded);
         let now = clock::now();
         let criteria = Criteria {
             pools: &pools,
-            prefix_hash: self.job.prefix,
+            prefix_hash: self.caller_request.prefix_hash,
             tried: excluded,
             now,
         };
         let chosen = self.entry.fleet.borrow_mut().router().choose(criteria)?;
-        Ok(self.take_choice(chosen, admitted))
+        Ok(self.accept_choice(chosen, admitted))
     }
 
-    fn take_choice(&mut self, engine: EngineKey, admitted: Option<Admitted>) -> Event {
-        let later = Event::NoneFree(clock::now().after_millis(NO_ENGINE_MILLIS));
+    fn accept_choice(&mut self, engine: EngineKey, admitted: Option<AdmittedVersion>) -> Event {
+        let none_free = Event::NoneFree(clock::now().after_millis(RETRY_AFTER_MILLIS));
         let fleet = self.entry.fleet.borrow();
-        let Some(known) = fleet.engine(engine) else {
-            return later;
+        let Some(known_engine) = fleet.engine(engine) else {
+            return none_free;
         };
         let members = self.entry.members.borrow();
-        let incarnation = members.get(known.server).and_then(Member::incarnation);
+        let incarnation = members
+            .get(known_engine.server)
+            .and_then(Member::incarnation);
         let Some(incarnation) = incarnation else {
-            return later;
+            return none_free;
         };
-        self.choice = Some(Choice {
+        self.choice = Some(EngineChoice {
             engine,
-            name: known.status.name.clone(),
-            server: known.server,
+            name: known_engine.status.name.clone(),
+            server: known_engine.server,
             incarnation,
             admitted,
         });
         Event::EngineSelected
     }
 
-    /// Sends one attempt and passes its answer on, until something ends it.
+    /// Sends an attempt and relays its response; returns the event that ended it.
     async fn attempt(&mut self, key: AttemptKey) -> Event {
         let Some(choice) = self.choice.clone() else {
             return Event::LinkLost;
@@ -258,78 +279,91 @@
             .borrow_mut()
             .router()
             .record_request_start(choice.engine);
-        let event = self.attempt_over(key, &choice, &link).await;
+        let event = self.run_attempt(key, &choice, &link).await;
         self.entry
             .fleet
             .borrow_mut()
             .router()
             .record_request_end(choice.engine);
-        if event == Event::Refused(dedup::Refusal::Full) && self.seeking {
-            self.bounced.push(choice.engine);
-            self.seeking = self.bounced.len() < MOST_BOUNCES;
+        if event == Event::Refused(dedup::Refusal::Full) && self.avoids_queueing {
+            self.refused_queueing.push(choice.engine);
+            self.avoids_queueing = self.refused_queueing.len() < MAX_QUEUEING_REFUSALS;
             return Event::QueueingRefused;
         }
         self.tried.push(choice.engine);
         event
     }
 
-    async fn attempt_over(&mut self, key: AttemptKey, choice: &Choice, link: &Link) -> Event {
-        let mut events = Relay::begin(self.frame(key, choice), self.job.body.clone(), link.clone());
+    async fn run_attempt(&mut self, key: AttemptKey, choice: &EngineChoice, link: &Link) -> Event {
+        let mut reader = ResponseReader::spawn(
+            self.attempt_frame(key, choice),
+            self.caller_request.body.clone(),
+            link.clone(),
+        );
         loop {
-            let deadline = clock::until(self.job.deadline);
-            let told = {
-                let next = pin!(events.next());
-                let over = pin!(deadline);
-                let gone = pin!(self.outlet.abandoned());
+            let deadline = clock::until(self.caller_request.deadline);
+            let message = {
+                let next = pin!(reader.next());
+                let deadline_passed = pin!(deadline);
+                let caller_gone = pin!(self.response_sender.caller_disconnected());
                 tokio::select! {
                     biased;
-                    told = next => told,
-                    () = gone => return Event::CallerGone,
-                    () = over => return Event::Tick,
+                    message = next => message,
+                    () = caller_gone => return Event::CallerGone,
+                    () = deadline_passed => return Event::Tick,
                 }
             };
-            if let Some(event) = self.take_told(told, choice).await {
+            if let Some(event) = self.handle_message(message, choice).await {
                 return event;
             }
         }
     }
 
-    fn frame(&self, key: AttemptKey, choice: &Choice) -> Attempt {
+    fn attempt_frame(&self, key: AttemptKey, choice: &EngineChoice) -> Attempt {
         Attempt {
             key,
             addressed: choice.incarnation,
-            request: self.job.request.clone(),
+            request: self.caller_request.request.clone(),
             engine: choice.name.clone(),
             weights: choice.admitted.map(|admitted| admitted.weights),
             adapter: choice.admitted.and_then(|admitted| admitted.adapter),
-            method: self.job.method.clone(),
-            path: self.job.path.clone(),
-            content_type: self.job.content_type.clone(),
-            millis_left: clock::left(self.job.deadline).as_millis() as u64,
-            body_length: self.job.body.len() as u32,
-            priority: self.job.priority,
-            resume_after: self.passed.head.then_some(self.passed.events),
-            at_once: self.seeking,
+            method: self.caller_request.method.clone(),
+            path: self.caller_request.path.clone(),
+            content_type: self.caller_request.content_type.clone(),
+            millis_left: clock::left(self.caller_request.deadline).as_millis() as u64,
+            body_length: self.caller_request.body.len() as u32,
+            priority: self.caller_request.priority,
+            resume_after: self
+                .forwarded
+                .has_head
+                .then_some(self.forwarded.event_count),
+            at_once: self.avoids_queueing,
         }
     }
 
-    /// Takes what the door told; gives an event where the attempt is over.
-    async fn take_told(&mut self, told: Told, choice: &Choice) -> Option<Event> {
-        match told {
-            Told::Head(head) => self.take_head(head, choice),
-            Told::Bytes(bytes) => (!self.take_bytes(bytes).await).then_some(Event::CallerGone),
-            Told::End => {
-                // What follows the last event's end belongs to the answer too.
-                let rest = self.passed.pending.split().freeze();
-                let gone = !rest.is_empty() && !self.outlet.pass(Part::Bytes(rest)).await;
-                Some(if gone {
+    /// Handles a message of the backend server; returns an event if the attempt has ended.
+    async fn handle_message(&mut self, message: Message, choice: &EngineChoice) -> Option<Event> {
+        match message {
+            Message::Head(head) => self.handle_head(head, choice),
+            Message::Bytes(bytes) => {
+                (!self.forward_bytes(bytes).await).then_some(Event::CallerGone)
+            }
+            Message::End => {
+                // Data after the last event is part of the response.
+                let remaining = self.forwarded.incomplete_event.split().freeze();
+                let caller_gone = !remaining.is_empty()
+                    && !self
+                        .response_sender
+                        .send_part(BodyPart::Bytes(remaining))
+                        .await;
+                Some(if caller_gone {
                     Event::CallerGone
                 } else {
                     Event::ResponseFinished
                 })
             }
-            Told::Event(event) => Some(event),
-            Told::Load(others) => {
+            Message::Event(event) => Some(event),
+            Message::Load(others) => {
                 let mut fleet = self.entry.fleet.borrow_mut();
                 fleet
                     .router()
@@ -339,22 +373,22 @@
         }
     }
 
-    fn take_head(&mut self, head: Head, choice: &Choice) -> Option<Event> {
-        let wanted = choice.admitted.map(|admitted| admitted.weights);
-        if (200..300).contains(&head.status) && head.weights != wanted {
+    fn handle_head(&mut self, head: Head, choice: &EngineChoice) -> Option<Event> {
+        let expected_weights = choice.admitted.map(|admitted| admitted.weights);
+        if (200..300).contains(&head.status) && head.weights != expected_weights {
             return Some(Event::Broken);
         }
-        if self.passed.head {
-            // The rest of an answer: only an answer that goes on may follow.
+        if self.forwarded.has_head {
+            // The response of a resumed request must be its continuation.
             self.step(Event::ResponseStarted);
             return (head.status != 200).then_some(Event::Broken);
         }
-        self.passed.head = true;
-        self.passed.event_stream = head
+        self.forwarded.has_head = true;
+        self.forwarded.is_event_stream = head
             .content_type
             .as_deref()
             .is_some_and(|kind| kind.starts_with(EVENT_STREAM));
-        if !self.passed.event_stream {
+        if !self.forwarded.is_event_stream {
             self.lifecycle.disable_resume();
         }
         let catalogue = self.entry.process.catalogue_state.catalogue();
@@ -366,14 +400,14 @@
             content_type,
             ..
         } = head;
-        let since = self.entry.settings.requests.patience.0;
-        let left = clock::left(self.job.deadline).as_secs_f64();
+        let timeout_millis = self.entry.settings.requests.patience.0;
+        let remaining = clock::left(self.caller_request.deadline).as_secs_f64();
         self.entry
             .process
             .metrics
             .time_to_first_part
-            .observe(since as f64 / 1e3 - left);
-        self.outlet.say(Word::Head {
+            .observe(timeout_millis as f64 / 1e3 - remaining);
+        self.response_sender.send_start(ResponseStart::Head {
             status,
             content_type,
             version,
@@ -382,68 +416,69 @@
         None
     }
 
-    /// Passes bytes on; of an event stream only whole events, so that another engine can go on
-    /// behind the last one. False where the caller has gone away.
-    async fn take_bytes(&mut self, bytes: Bytes) -> bool {
-        if !self.passed.event_stream {
-            return self.outlet.pass(Part::Bytes(bytes)).await;
+    /// Forwards data; of event streams only complete events, so that another engine can resume
+    /// behind the last one. Returns false if the caller has disconnected.
+    async fn forward_bytes(&mut self, bytes: Bytes) -> bool {
+        if !self.forwarded.is_event_stream {
+            return self.response_sender.send_part(BodyPart::Bytes(bytes)).await;
         }
-        self.passed.pending.extend_from_slice(&bytes);
-        let Some(whole) = rfind(&self.passed.pending, EVENT_END) else {
+        self.forwarded.incomplete_event.extend_from_slice(&bytes);
+        let Some(last_event_end) = rfind(&self.forwarded.incomplete_event, EVENT_END) else {
             return true;
         };
         let events = self
-            .passed
-            .pending
-            .split_to(whole + EVENT_END.len())
+            .forwarded
+            .incomplete_event
+            .split_to(last_event_end + EVENT_END.len())
             .freeze();
-        self.passed.events += count(&events, EVENT_END);
-        self.outlet.pass(Part::Bytes(events)).await
+        self.forwarded.event_count += count(&events, EVENT_END);
+        self.response_sender
+            .send_part(BodyPart::Bytes(events))
+            .await
     }
 
-    /// Asks the door to shut out an attempt; where the request is given up already, nothing
-    /// waits for the answer.
+    /// Revokes an attempt; doesn't wait for the response if the request has ended.
     async fn revoke(&mut self, key: AttemptKey) -> Option<Event> {
-        // Bytes of an event that never ended are not passed on.
-        self.passed.pending.clear();
+        // Incomplete events are not forwarded.
+        self.forwarded.incomplete_event.clear();
         let choice = self.choice.clone()?;
-        let asking = revoke_at_door(self.entry.clone(), key, choice.clone());
+        let revocation = revoke_at_server(self.entry.clone(), key, choice.clone());
         if self.lifecycle.attempt().is_none() {
-            actix_rt::spawn(asking);
+            actix_rt::spawn(revocation);
             return None;
         }
-        let mut asking = pin!(asking);
-        let deadline = clock::until(self.job.deadline);
+        let mut revocation = pin!(revocation);
+        let deadline = clock::until(self.caller_request.deadline);
         tokio::select! {
             biased;
-            event = &mut asking => Some(event),
-            () = self.outlet.abandoned() => Some(Event::CallerGone),
+            event = &mut revocation => Some(event),
+            () = self.response_sender.caller_disconnected() => Some(Event::CallerGone),
             () = deadline => Some(Event::Tick),
         }
     }
 }
 
-async fn revoke_at_door(entry: Rc<Entry>, key: AttemptKey, choice: Choice) -> Event {
-    let deadline = clock::now().after_millis(REVOKE_MILLIS);
+async fn revoke_at_server(entry: Rc<Entry>, key: AttemptKey, choice: EngineChoice) -> Event {
+    let deadline = clock::now().after_millis(REVOKE_TIMEOUT_MILLIS);
     while !deadline.has_passed(clock::now()) {
         if let Some(link) = entry
             .links
             .get(choice.server)
             .filter(|link| !link.is_closed())
         {
-            let asked = revoke_over(&link, key, choice.incarnation);
-            match clock::before(deadline, asked).await {
+            let response = send_revocation(&link, key, choice.incarnation);
+            match clock::before(deadline, response).await {
                 Some(Ok(revocation)) => return Event::Revoked(revocation),
                 Some(Err(error)) => tracing::debug!(event = "revocation_lost", %error),
                 None => return Event::LinkLost,
             }
         }
-        clock::pause(LOOK_MILLIS).await;
+        clock::pause(LINK_POLL_MILLIS).await;
     }
     Event::LinkLost
 }
 
-async fn revoke_over(
+async fn send_revocation(
     link: &Link,
     key: AttemptKey,
     addressed: Incarnation,
@@ -457,9 +492,9 @@
     }
 }
 
-/// What a door told.
-enum Told {
-    /// Others' work at the engine.
+/// Message of a backend server about an attempt.
+enum Message {
+    /// Requests of other entry boxes at the engine.
     Load(u32),
     Head(Head),
     Bytes(Bytes),
@@ -467,51 +502,51 @@
     Event(Event),
 }
 
-/// Reads a door's answer in a task of its own, so that waiting for the next part can be broken
-/// off at any point without losing one.
-struct Relay {
-    told: mpsc::Receiver<Told>,
+/// Receives the response in a separate task, so that waiting for a message can be cancelled without
+/// losing one.
+struct ResponseReader {
+    messages: mpsc::Receiver<Message>,
     task: actix_rt::task::JoinHandle<()>,
 }
 
-impl Drop for Relay {
+impl Drop for ResponseReader {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Relay {
-    fn begin(attempt: Attempt, body: Bytes, link: Link) -> Self {
-        let (sender, told) = mpsc::channel(4);
+impl ResponseReader {
+    fn spawn(attempt: Attempt, body: Bytes, link: Link) -> Self {
+        let (sender, messages) = mpsc::channel(4);
         let task = actix_rt::spawn(async move {
-            let last = match exchange(attempt, body, &link, &sender).await {
-                Ok(last) => last,
+            let last_message = match exchange(attempt, body, &link, &sender).await {
+                Ok(last_message) => last_message,
                 Err(error) => {
                     tracing::debug!(event = "attempt_lost", %error);
-                    Told::Event(Event::LinkLost)
+                    Message::Event(Event::LinkLost)
                 }
             };
-            // The request may have been given up meanwhile.
-            let _ = sender.send(last).await;
+            // The request may have ended.
+            let _ = sender.send(last_message).await;
         });
-        Self { told, task }
+        Self { messages, task }
     }
 
-    async fn next(&mut self) -> Told {
-        self.told
+    async fn next(&mut self) -> Message {
+        self.messages
             .recv()
             .await
-            .unwrap_or(Told::Event(Event::LinkLost))
+            .unwrap_or(Message::Event(Event::LinkLost))
     }
 }
 
-/// Sends an attempt and reads its answer; gives what ended it.
+/// Sends an attempt and receives its response; returns the last message.
 async fn exchange(
     attempt: Attempt,
     body: Bytes,
     link: &Link,
-    told: &mpsc::Sender<Told>,
-) -> Result<Told, gingerpier_link::Error> {
+    messages: &mpsc::Sender<Message>,
+) -> Result<Message, gingerpier_link::Error> {
     let mut stream = link.open().await?;
     stream.send(&Request::Attempt(attempt)).await?;
     stream.send_held(body).await?;
@@ -520,53 +555,55 @@
     loop {
         match stream.receive::<Reply>().await? {
             Reply::Refused { refusal, others } => {
-                tell_load(told, others).await;
-                return Ok(Told::Event(Event::Refused(refusal)));
+                send_load(messages, others).await;
+                return Ok(Message::Event(Event::Refused(refusal)));
             }
-            Reply::Head(head) => drop(told.send(Told::Head(head)).await),
+            Reply::Head(head) => drop(messages.send(Message::Head(head)).await),
             Reply::Body { length } => {
                 bytes += u64::from(length);
-                pass_body(&mut stream, length as usize, told).await?;
+                receive_body(&mut stream, length as usize, messages).await?;
             }
-            // A door's count that differs from ours is no end.
+            // A different length means that data was lost.
             Reply::End {
                 bytes: sent,
                 others,
             } if sent == bytes => {
-                tell_load(told, others).await;
-                return Ok(Told::End);
+                send_load(messages, others).await;
+                return Ok(Message::End);
             }
-            _ => return Ok(Told::Event(Event::Broken)),
+            _ => return Ok(Message::Event(Event::Broken)),
         }
     }
 }
 
-async fn tell_load(told: &mpsc::Sender<Told>, others: Option<u32>) {
+async fn send_load(messages: &mpsc::Sender<Message>, others: Option<u32>) {
     if let Some(others) = others {
-        drop(told.send(Told::Load(others)).await);
+        drop(messages.send(Message::Load(others)).await);
     }
 }
 
-async fn pass_body(
+async fn receive_body(
     stream: &mut Stream,
-    mut left: usize,
-    told: &mpsc::Sender<Told>,
+    mut remaining: usize,
+    messages: &mpsc::Sender<Message>,
 ) -> Result<(), gingerpier_link::Error> {
-    while left > 0 {
-        let part = stream.receive_some(left.min(PART_BYTES)).await?;
-        left -= part.len();
-        drop(told.send(Told::Bytes(part)).await);
+    while remaining > 0 {
+        let part = stream.receive_some(remaining.min(READ_BYTES)).await?;
+        remaining -= part.len();
+        drop(messages.send(Message::Bytes(part)).await);
     }
     Ok(())
 }
 
-fn rfind(bytes: &[u8], mark: &[u8]) -> Option<usize> {
-    bytes.windows(mark.len()).rposition(|window| window == mark)
+fn rfind(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes
+        .windows(pattern.len())
+        .rposition(|window| window == pattern)
 }
 
-fn count(bytes: &[u8], mark: &[u8]) -> u64 {
+fn count(bytes: &[u8], pattern: &[u8]) -> u64 {
     bytes
-        .windows(mark.len())
-        .filter(|window| *window == mark)
+        .windows(pattern.len())
+        .filter(|window| *window == pattern)
         .count() as u64
 }
--- a/crates/gingerpier_daemon/src/entry/spreading.rs
+++ b/crates/gingerpier_daemon/src/entry/spreading.rs
@@ -1,11 +1,13 @@
-//! How the configuration reaches every process.
+//! Propagation of the catalogue to all processes.
 //!
-//! A few entry boxes of each zone watch the key-value service. Whoever learns of a revision there
-//! tells the entry boxes of its own zone and two of each other zone; whoever hears it from another
-//! zone tells its own. Every entry box compares notes with a random other one every two seconds,
-//! which heals whatever was lost. Backend servers hear from the entry boxes of their zone: each
-//! server has a rendezvous order of them, and those later in the order wait a little longer and
-//! find, as a rule, that the server has reported the revision already.
+//! Some entry boxes of each zone watch the key-value service. One that reads a new revision there
+//! sends it to the entry boxes of its zone and to two of each other zone; one that receives it from
+//! another zone sends it to its own zone. Each entry box also synchronizes with a random other one
+//! at an interval, which repairs lost updates.
+//!
+//! Backend servers get updates from the entry boxes of their zone. For each server these are ranked
+//! by a rendezvous order; lower ranks wait longer and skip the update if the server has reported
+//! the revision by then.
 
 use {
     super::Entry,
@@ -24,41 +26,41 @@
     std::{collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// Milliseconds between comparisons with a random other entry box.
-const COMPARE_MILLIS: u64 = 2_000;
-/// Milliseconds that each place in a server's order of entry boxes waits longer.
-const RANK_MILLIS: u64 = 300;
-/// Milliseconds between looks at a server that is behind.
-const LOOK_MILLIS: u64 = 1_000;
-/// Entry boxes of another zone that are told at once.
-const TOLD_IN_OTHER_ZONES: usize = 2;
-/// Time for an answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// Interval between synchronizations with a random other entry box.
+const SYNC_INTERVAL_MILLIS: u64 = 2_000;
+/// Delay of an update to a backend server for each rank.
+const RANK_DELAY_MILLIS: u64 = 300;
+/// Interval between checks whether a backend server is behind.
+const POLL_INTERVAL_MILLIS: u64 = 1_000;
+/// Entry boxes of each other zone that get an update directly.
+const MAX_RECIPIENTS_PER_OTHER_ZONE: usize = 2;
+/// Timeout of a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl Entry {
-    /// Spreads revisions for as long as the process runs.
+    /// Spawns the tasks that send and synchronize revisions.
     pub fn spawn_propagation(self: Rc<Self>) {
-        let telling = self.clone();
+        let sender = self.clone();
         actix_rt::spawn(async move {
-            let mut revisions = telling.process.catalogue_state.subscribe();
+            let mut revisions = sender.process.catalogue_state.subscribe();
             while revisions.changed().await.is_ok() {
-                telling.clone().tell_entries();
+                sender.clone().send_to_entries();
             }
         });
         actix_rt::spawn(async move {
             loop {
-                self.compare().await;
-                clock::pause(COMPARE_MILLIS).await;
+                self.sync_with_random_entry().await;
+                clock::pause(SYNC_INTERVAL_MILLIS).await;
             }
         });
     }
 
-    fn tell_entries(self: Rc<Self>) {
+    fn send_to_entries(self: Rc<Self>) {
         let own_zone = &self.process.hello.zone;
-        let mut others: BTreeMap<Zone, Vec<(BoxKey, Name)>> = BTreeMap::new();
+        let mut entries_by_zone: BTreeMap<Zone, Vec<(BoxKey, Name)>> = BTreeMap::new();
         for (key, member) in self.members.borrow().iter() {
             if member.role == Role::Entry && self.links.get(key).is_some() {
-                others
+                entries_by_zone
                     .entry(member.zone.clone())
                     .or_default()
                     .push((key, member.name.clone()));
@@ -66,93 +68,93 @@
         }
         let origin = self.process.catalogue_state.origin();
         let revision = self.process.catalogue_state.revision();
-        for (zone, mut members) in others {
-            let most = match (origin, zone == *own_zone) {
+        for (zone, mut members) in entries_by_zone {
+            let max_recipients = match (origin, zone == *own_zone) {
                 (Origin::KeyValue | Origin::OtherZone, true) => usize::MAX,
-                (Origin::KeyValue, false) => TOLD_IN_OTHER_ZONES,
+                (Origin::KeyValue, false) => MAX_RECIPIENTS_PER_OTHER_ZONE,
                 (Origin::OwnZone, _) | (Origin::OtherZone, false) => 0,
             };
             order::sort_by_score(revision.0, &mut members, |(_, name)| order::hash(name));
-            for (key, _) in members.into_iter().take(most) {
+            for (key, _) in members.into_iter().take(max_recipients) {
                 let entry = self.clone();
-                actix_rt::spawn(async move { entry.tell_entry(key).await });
+                actix_rt::spawn(async move { entry.send_to_entry(key).await });
             }
         }
     }
 
-    async fn tell_entry(&self, key: BoxKey) {
+    async fn send_to_entry(&self, key: BoxKey) {
         let Some(link) = self.links.get(key) else {
             return;
         };
-        let known = self.links.revision(key);
-        if known >= self.process.catalogue_state.revision() {
+        let known_revision = self.links.revision(key);
+        if known_revision >= self.process.catalogue_state.revision() {
             return;
         }
-        // What the other knows is not known for sure; a gap makes it ask.
-        let known = if known.0 == 0 {
+        // The peer's revision is unknown; if it misses more records, it requests them.
+        let known_revision = if known_revision.0 == 0 {
             Revision(self.process.catalogue_state.revision().0 - 1)
         } else {
-            known
+            known_revision
         };
-        self.tell(
+        self.send_update(
             key,
             &link,
-            self.process.catalogue_state.changes_since(known),
+            self.process.catalogue_state.changes_since(known_revision),
         )
         .await;
     }
 
-    /// Sends what a process lacks, and notes the revision that it has then.
-    pub async fn tell(&self, key: BoxKey, link: &Link, inform: Inform) {
-        match actix_rt::time::timeout(PATIENCE, inform_over(link, &inform)).await {
+    /// Sends an update and records the resulting revision of the peer.
+    pub async fn send_update(&self, key: BoxKey, link: &Link, update: Inform) {
+        match actix_rt::time::timeout(RESPONSE_TIMEOUT, send_inform(link, &update)).await {
             Ok(Ok(revision)) => self.links.record_revision(key, revision),
             Ok(Err(error)) => tracing::debug!(event = "inform_lost", %error),
             Err(_) => tracing::debug!(event = "inform_slow", peer = %link.peer()),
         }
     }
 
-    /// Compares notes with a random other entry box.
-    async fn compare(&self) {
-        let linked = self.linked_entries();
-        if linked.is_empty() {
+    /// Synchronizes with a random other entry box.
+    async fn sync_with_random_entry(&self) {
+        let linked_entries = self.entries_with_links();
+        if linked_entries.is_empty() {
             return;
         }
-        let (key, zone) = &linked[fastrand::usize(..linked.len())];
+        let (key, zone) = &linked_entries[fastrand::usize(..linked_entries.len())];
         self.sync_with(*key, zone).await;
     }
 
-    fn linked_entries(&self) -> Vec<(BoxKey, Zone)> {
+    fn entries_with_links(&self) -> Vec<(BoxKey, Zone)> {
         let members = self.members.borrow();
-        let linked = members
+        let linked_entries = members
             .iter()
             .filter(|(key, member)| member.role == Role::Entry && self.links.get(*key).is_some());
-        linked
+        linked_entries
             .map(|(key, member)| (key, member.zone.clone()))
             .collect()
     }
 
-    /// Asks an entry box for what is lacking here.
+    /// Requests the records that are missing here.
     pub async fn sync_with(&self, key: BoxKey, zone: &Zone) {
         let Some(link) = self.links.get(key) else {
             return;
         };
         let revision = self.process.catalogue_state.revision();
-        let asked = async {
+        let response = async {
             let mut stream = link.open().await?;
             stream.send(&Request::Sync { revision }).await?;
             stream.finish();
             stream.receive::<Reply>().await
         };
-        match actix_rt::time::timeout(PATIENCE, asked).await {
-            Ok(Ok(Reply::News(inform))) => {
-                let own = *zone == self.process.hello.zone;
-                let origin = if own {
+        match actix_rt::time::timeout(RESPONSE_TIMEOUT, response).await {
+            Ok(Ok(Reply::News(update))) => {
+                let is_own_zone = *zone == self.process.hello.zone;
+                let origin = if is_own_zone {
                     Origin::OwnZone
                 } else {
                     Origin::OtherZone
                 };
-                self.process.catalogue_state.apply_inform(&inform, origin);
-                self.links.record_revision(key, inform.revision);
+                self.process.catalogue_state.apply_inform(&update, origin);
+                self.links.record_revision(key, update.revision);
             }
             Ok(Ok(other)) => tracing::warn!(event = "sync_refused", answer = ?other),
             Ok(Err(error)) => tracing::debug!(event = "sync_lost", %error),
@@ -160,63 +162,63 @@
         }
     }
 
-    /// Keeps a backend server informed until its link is down.
-    pub async fn inform_server(self: Rc<Self>, key: BoxKey, name: Name, link: Link) {
+    /// Sends updates to a backend server until its link is closed.
+    pub async fn keep_server_informed(self: Rc<Self>, key: BoxKey, name: Name, link: Link) {
         let mut revisions = self.process.catalogue_state.subscribe();
         let mut boxes = self.box_changes.subscribe();
-        let mut told_boxes = Vec::new();
+        let mut sent_boxes = Vec::new();
         while !link.is_closed() {
             let zone = self.process.hello.zone.name.clone();
             let rank = self.rank(order::hash(&name), Some(&zone)) as u64;
-            clock::pause(RANK_MILLIS * rank).await;
-            self.inform_once(key, &link, &mut told_boxes).await;
-            let look = Duration::from_millis(LOOK_MILLIS);
+            clock::pause(RANK_DELAY_MILLIS * rank).await;
+            self.update_server(key, &link, &mut sent_boxes).await;
+            let timeout = Duration::from_millis(POLL_INTERVAL_MILLIS);
             let changed = async {
                 tokio::select! {
                     _ = revisions.changed() => {}
-                    _ = boxes.changed() => clock::pause(RANK_MILLIS / 3).await,
+                    _ = boxes.changed() => clock::pause(RANK_DELAY_MILLIS / 3).await,
                 }
             };
-            // Without a change, the look is taken all the same.
-            let _ = actix_rt::time::timeout(look, changed).await;
+            // The check is also repeated without a change.
+            let _ = actix_rt::time::timeout(timeout, changed).await;
         }
     }
 
-    async fn inform_once(&self, key: BoxKey, link: &Link, told_boxes: &mut Vec<Peer>) {
-        // Until its first report, it is not known what the server lacks.
+    async fn update_server(&self, key: BoxKey, link: &Link, sent_boxes: &mut Vec<Peer>) {
+        // The server's revision is unknown until its first report.
         let Some(status) = self.links.status(key) else {
             return;
         };
         let peers = self.server_peers();
-        let behind = self.links.revision(key) < self.process.catalogue_state.revision();
+        let is_behind = self.links.revision(key) < self.process.catalogue_state.revision();
         let confirmed = if status.confirmed {
             None
         } else {
-            self.store_confirmation().await
+            self.read_confirmed_revision().await
         };
-        let new_boxes = *told_boxes != peers;
-        if !behind && !new_boxes && confirmed.is_none() {
+        let has_new_boxes = *sent_boxes != peers;
+        if !is_behind && !has_new_boxes && confirmed.is_none() {
             return;
         }
-        let mut inform = self
+        let mut update = self
             .process
             .catalogue_state
             .changes_since(self.links.revision(key));
-        inform.confirmed = confirmed;
-        if new_boxes {
-            inform.boxes.clone_from(&peers);
+        update.confirmed = confirmed;
+        if has_new_boxes {
+            update.boxes.clone_from(&peers);
         }
-        self.tell(key, link, inform).await;
-        *told_boxes = peers;
+        self.send_update(key, link, update).await;
+        *sent_boxes = peers;
     }
 
-    /// Backend servers, as weights' plans need them.
+    /// Returns the backend servers that plans for weights may use.
     fn server_peers(&self) -> Vec<Peer> {
         let members = self.members.borrow();
         let servers = members
             .iter()
             .filter(|(_, member)| member.role == Role::Backend);
-        let servers = servers.filter(|(_, member)| is_known(member));
+        let servers = servers.filter(|(_, member)| was_reached(member));
         servers
             .map(|(key, member)| self.peer(key, member))
             .collect()
@@ -239,14 +241,14 @@
     }
 }
 
-/// A box that was never reached may not be there yet.
-fn is_known(member: &Member) -> bool {
+/// Returns true if the box has ever been reached.
+fn was_reached(member: &Member) -> bool {
     member.incarnation().is_some()
 }
 
-async fn inform_over(link: &Link, inform: &Inform) -> Result<Revision, Error> {
+async fn send_inform(link: &Link, update: &Inform) -> Result<Revision, Error> {
     let mut stream = link.open().await?;
-    stream.send(&Request::Inform(inform.clone())).await?;
+    stream.send(&Request::Inform(update.clone())).await?;
     stream.finish();
     match stream.receive::<Reply>().await? {
         Reply::Informed { revision } => Ok(revision),
--- a/crates/gingerpier_daemon/src/entry/store.rs
+++ b/crates/gingerpier_daemon/src/entry/store.rs
@@ -1,4 +1,4 @@
-//! The way to the key-value service: reading, watching, and getting changes accepted.
+//! Access to the key-value service: reads, watches and commits changes.
 //!
 //! Keys under the deployment's prefix: `head` (the latest revision), `record/N` (the log, which
 //! is the audit trail), `snapshot` (the catalogue at some revision), `planner` (who plans, under
@@ -10,7 +10,7 @@
     awc::Client as Http,
     gingerpier_base::order,
     gingerpier_catalogue::{
-        Catalogue, Entry as LogEntry, Error as Refusal, Record, Revision,
+        Catalogue, Entry as LogEntry, Error as RuleError, Record, Revision,
         proposal::{Action, Event, Proposal},
     },
     gingerpier_services::{
@@ -27,20 +27,20 @@
     tokio::sync::{mpsc, oneshot},
 };
 
-/// Calls that bring no progress before a change is given up.
-const TRIES: u32 = 4;
-/// Milliseconds before a call is made again, for each call that failed before.
-const RETRY_MILLIS: u64 = 100;
-/// Changes accepted by one write at most.
-const MOST_IN_BATCH: usize = 64;
+/// Failed calls before a change is given up.
+const MAX_FAILURES: u32 = 4;
+/// Delay before a retry, multiplied by the number of failed calls.
+const RETRY_DELAY_MILLIS: u64 = 100;
+/// Limit on the changes committed by one write.
+const MAX_BATCH_CHANGES: usize = 64;
 /// Revisions between two snapshots.
-const SNAPSHOT_EVERY: u64 = 64;
-/// Milliseconds between looks by an entry box that does not watch, or lost its watch.
-const LOOK_MILLIS: u64 = 1_000;
-/// Time for a watch to wait before it is begun anew.
-const WATCH_PATIENCE: Duration = Duration::from_secs(30);
+const SNAPSHOT_INTERVAL_REVISIONS: u64 = 64;
+/// Interval between attempts to watch, and between checks whether this entry box should.
+const WATCH_RETRY_MILLIS: u64 = 1_000;
+/// Timeout of a watch without events, after which it is restarted.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What `head` holds.
+/// Value of the key `head`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Encode, Decode)]
 #[cbor(map)]
 struct Head {
@@ -49,75 +49,75 @@
     revision: Revision,
 }
 
-/// Where `head` stands in the key-value service.
+/// Position of the log: the value of `head` and the version of the key.
 #[derive(Debug, Clone, Copy, Default)]
-struct Stand {
+struct HeadPosition {
     revision: Revision,
-    /// Service's revision of the key; 0 where there is none yet.
+    /// Modification revision of `head`; 0 if the key doesn't exist.
     changed: u64,
 }
 
-/// What became of a change.
+/// Result of a submitted change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
-    /// Accepted.
+pub enum SubmitResult {
+    /// The change was committed.
     Accepted {
-        /// Revision that it made.
+        /// Revision that contains the change.
         revision: Revision,
-        /// True where an earlier copy of it had been accepted.
+        /// True if the same change had been committed before.
         repeated: bool,
     },
-    /// Refused by the catalogue's rules.
-    Refused(Refusal),
-    /// The key-value service can't be reached; nothing was written.
+    /// The catalogue's rules refuse the change.
+    Refused(RuleError),
+    /// The key-value service is unreachable; nothing was written.
     Unavailable(String),
-    /// A write's answer was lost, and what became of it can't be found out now.
+    /// The response to a write was lost, and its result can't be read now.
     Unknown(String),
 }
 
-/// A condition under which a planner's change may be written.
+/// Condition for a planner's write: its lease key is unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fence {
-    /// Service's revision of the planner's key.
+    /// Modification revision of the planner's key.
     pub changed: u64,
 }
 
-struct Pending {
+struct PendingChange {
     entry: LogEntry,
     fence: Option<Fence>,
-    verdict: oneshot::Sender<Verdict>,
+    result_sender: oneshot::Sender<SubmitResult>,
 }
 
-/// The key-value service, as one entry box uses it.
+/// Returns the client of the service.
 pub struct Store {
     client: Client,
     prefix: String,
     records_kept: u64,
-    watchers: usize,
-    reachable: Cell<bool>,
-    queue: mpsc::UnboundedSender<Pending>,
-    queued: RefCell<Option<mpsc::UnboundedReceiver<Pending>>>,
+    max_watchers: usize,
+    is_reachable: Cell<bool>,
+    sender: mpsc::UnboundedSender<PendingChange>,
+    receiver: RefCell<Option<mpsc::UnboundedReceiver<PendingChange>>>,
 }
 
 impl Store {
-    /// Store of an entry box's settings.
+    /// Creates the client from an entry box's settings.
     pub fn new(settings: &Settings, http: Http) -> Self {
         let patience = Duration::from_millis(settings.patience.0);
-        let (queue, queued) = mpsc::unbounded_channel();
+        let (sender, receiver) = mpsc::unbounded_channel();
         Self {
             client: Client::new(http, settings.url.clone(), patience),
             prefix: settings.prefix.clone(),
             records_kept: settings.records_kept,
-            watchers: settings.watchers as usize,
-            reachable: Cell::new(false),
-            queue,
-            queued: RefCell::new(Some(queued)),
+            max_watchers: settings.watchers as usize,
+            is_reachable: Cell::new(false),
+            sender,
+            receiver: RefCell::new(Some(receiver)),
         }
     }
 
-    /// True where the last call of the service was answered.
+    /// Returns true if the service responded to the last call.
     pub fn is_reachable(&self) -> bool {
-        self.reachable.get()
+        self.is_reachable.get()
     }
 
     /// Client of the service.
@@ -125,7 +125,7 @@
         &self.client
     }
 
-    /// Key below the deployment's prefix.
+    /// Returns a key with the deployment's prefix.
     pub fn key(&self, name: &str) -> String {
         format!("{}/{name}", self.prefix)
     }
@@ -142,55 +142,55 @@
         }
     }
 
-    /// Notes how a call went, and passes its result on.
+    /// Records whether the service responded, and returns the result unchanged.
     ///
     /// # Errors
     ///
-    /// The call's own.
-    pub fn note<T>(&self, result: Result<T, Error>) -> Result<T, Error> {
-        let answered = match &result {
+    /// Returns the error of the call.
+    pub fn record_result<T>(&self, result: Result<T, Error>) -> Result<T, Error> {
+        let responded = match &result {
             Ok(_) => true,
             Err(error) => matches!(error.fault, Fault::Refused(_) | Fault::Missing),
         };
-        if self.reachable.replace(answered) != answered {
-            tracing::warn!(event = "key_value_service", reachable = answered);
+        if self.is_reachable.replace(responded) != responded {
+            tracing::warn!(event = "key_value_service", reachable = responded);
         }
         result
     }
 }
 
 impl Entry {
-    /// Watches, and gets changes accepted, for as long as the process runs.
+    /// Spawns the tasks that watch `head` and commit changes.
     pub fn spawn_store_tasks(self: Rc<Self>) {
-        let queued = self.store.queued.borrow_mut().take();
-        let Some(queued) = queued else { return };
-        actix_rt::spawn(self.clone().accept_changes(queued));
+        let receiver = self.store.receiver.borrow_mut().take();
+        let Some(receiver) = receiver else { return };
+        actix_rt::spawn(self.clone().commit_changes(receiver));
         actix_rt::spawn(self.watch_head());
     }
 
-    /// Asks for a change to be accepted.
-    pub async fn submit(&self, entry: LogEntry, fence: Option<Fence>) -> Verdict {
-        let (verdict, decided) = oneshot::channel();
-        let ended = || Verdict::Unknown("the process ends".to_owned());
+    /// Queues a change and waits for its result.
+    pub async fn submit(&self, entry: LogEntry, fence: Option<Fence>) -> SubmitResult {
+        let (result_sender, result_receiver) = oneshot::channel();
+        let process_ended = || SubmitResult::Unknown("the process is shutting down".to_owned());
         if self
             .store
-            .queue
-            .send(Pending {
+            .sender
+            .send(PendingChange {
                 entry,
                 fence,
-                verdict,
+                result_sender,
             })
             .is_err()
         {
-            return ended();
+            return process_ended();
         }
-        decided.await.unwrap_or_else(|_| ended())
+        result_receiver.await.unwrap_or_else(|_| process_ended())
     }
 
-    /// The latest revision by the service's own word, once the ledger has reached it.
-    pub async fn store_confirmation(&self) -> Option<Revision> {
+    /// Reads the latest revision from the service; returns it once the catalogue has reached it.
+    pub async fn read_confirmed_revision(&self) -> Option<Revision> {
         match self.refresh().await {
-            Ok(stand) => Some(stand.revision),
+            Ok(head_position) => Some(head_position.revision),
             Err(error) => {
                 tracing::debug!(event = "no_confirmation", %error);
                 None
@@ -198,35 +198,38 @@
         }
     }
 
-    /// Reads the head, and brings the ledger up to it.
-    async fn refresh(&self) -> Result<Stand, Error> {
-        let stand = self.read_head().await?;
-        if stand.revision > self.process.catalogue_state.revision() {
+    /// Reads `head` and brings the catalogue up to it.
+    async fn refresh(&self) -> Result<HeadPosition, Error> {
+        let head_position = self.read_head().await?;
+        if head_position.revision > self.process.catalogue_state.revision() {
             self.read_records().await?;
         }
-        if stand.revision > self.process.catalogue_state.revision() {
+        if head_position.revision > self.process.catalogue_state.revision() {
             self.read_snapshot().await?;
             self.read_records().await?;
         }
-        if stand.revision > self.process.catalogue_state.revision() {
+        if head_position.revision > self.process.catalogue_state.revision() {
             let key = self.store.key("record/");
-            let fault = Fault::Unreadable(format!("records up to {} are missing", stand.revision));
+            let fault = Fault::Unreadable(format!(
+                "records up to {} are missing",
+                head_position.revision
+            ));
             return Err(Error::new(gingerpier_services::Step::ReadKey, &key, fault));
         }
-        Ok(stand)
+        Ok(head_position)
     }
 
-    async fn read_head(&self) -> Result<Stand, Error> {
+    async fn read_head(&self) -> Result<HeadPosition, Error> {
         let key = self.store.key("head");
         self.process.metrics.key_value_calls.inc();
-        let read = self
+        let stored = self
             .store
-            .note(self.store.client.get(&key, clock::now()).await)?;
-        let Some(item) = read else {
-            return Ok(Stand::default());
+            .record_result(self.store.client.get(&key, clock::now()).await)?;
+        let Some(item) = stored else {
+            return Ok(HeadPosition::default());
         };
         let head: Head = decode(&item)?;
-        Ok(Stand {
+        Ok(HeadPosition {
             revision: head.revision,
             changed: item.changed,
         })
@@ -239,7 +242,7 @@
         self.process.metrics.key_value_calls.inc();
         let items = self
             .store
-            .note(self.store.client.range(&range, clock::now()).await)?;
+            .record_result(self.store.client.range(&range, clock::now()).await)?;
         for item in &items {
             let record: Record = decode(item)?;
             self.process
@@ -252,10 +255,10 @@
     async fn read_snapshot(&self) -> Result<(), Error> {
         let key = self.store.key("snapshot");
         self.process.metrics.key_value_calls.inc();
-        let read = self
+        let stored = self
             .store
-            .note(self.store.client.get(&key, clock::now()).await)?;
-        if let Some(item) = read {
+            .record_result(self.store.client.get(&key, clock::now()).await)?;
+        if let Some(item) = stored {
             self.process
                 .catalogue_state
                 .install_snapshot(&item.value, Origin::KeyValue);
@@ -263,11 +266,11 @@
         Ok(())
     }
 
-    /// The latest records, oldest first: the audit trail.
+    /// Returns the latest records, oldest first.
     ///
     /// # Errors
     ///
-    /// Where the service can't be reached.
+    /// Fails if the service can't be read.
     pub async fn read_audit(&self, last: u32) -> Result<Vec<Record>, Error> {
         let first = self
             .process
@@ -280,55 +283,55 @@
         self.process.metrics.key_value_calls.inc();
         let items = self
             .store
-            .note(self.store.client.range(&range, clock::now()).await)?;
+            .record_result(self.store.client.range(&range, clock::now()).await)?;
         items.iter().map(decode).collect()
     }
 
     async fn watch_head(self: Rc<Self>) {
         loop {
             let zone = self.process.hello.zone.name.clone();
-            let watches = self.rank(order::hash(&zone), Some(&zone)) < self.store.watchers;
-            let watched = if watches {
+            let should_watch = self.rank(order::hash(&zone), Some(&zone)) < self.store.max_watchers;
+            let outcome = if should_watch {
                 self.watch_once().await
             } else {
                 Ok(())
             };
-            if let Err(error) = watched {
+            if let Err(error) = outcome {
                 tracing::debug!(event = "watch_lost", %error);
             }
-            clock::pause(LOOK_MILLIS).await;
+            clock::pause(WATCH_RETRY_MILLIS).await;
         }
     }
 
     async fn watch_once(&self) -> Result<(), Error> {
-        let stand = self.refresh().await?;
+        let head_position = self.refresh().await?;
         let key = self.store.key("head");
         self.process.metrics.key_value_calls.inc();
         let watch = self
             .store
             .client
-            .watch(&key, stand.changed + 1, clock::now())
+            .watch(&key, head_position.changed + 1, clock::now())
             .await;
-        let mut watch = self.store.note(watch)?;
-        while watch.changed(WATCH_PATIENCE, clock::now()).await? {
+        let mut watch = self.store.record_result(watch)?;
+        while watch.changed(WATCH_TIMEOUT, clock::now()).await? {
             self.refresh().await?;
         }
         Ok(())
     }
 
-    async fn accept_changes(self: Rc<Self>, mut queued: mpsc::UnboundedReceiver<Pending>) {
+    async fn commit_changes(self: Rc<Self>, mut receiver: mpsc::UnboundedReceiver<PendingChange>) {
         let mut next = None;
         loop {
             let first = match next.take() {
                 Some(pending) => pending,
-                None => match queued.recv().await {
+                None => match receiver.recv().await {
                     Some(pending) => pending,
                     None => return,
                 },
             };
             let mut batch = vec![first];
-            while batch.len() < MOST_IN_BATCH {
-                let Ok(pending) = queued.try_recv() else {
+            while batch.len() < MAX_BATCH_CHANGES {
+                let Ok(pending) = receiver.try_recv() else {
                     break;
                 };
                 if pending.fence != batch[0].fence {
@@ -337,25 +340,25 @@
                 }
                 batch.push(pending);
             }
-            self.accept_batch(batch).await;
+            self.commit_batch(batch).await;
         }
     }
 
-    /// Gets a batch accepted by one write, following the proposal's word at each step.
-    async fn accept_batch(&self, mut batch: Vec<Pending>) {
-        let mut proposal = Proposal::new(TRIES);
+    /// Commits a batch by one write, as the proposal's state machine directs.
+    async fn commit_batch(&self, mut batch: Vec<PendingChange>) {
+        let mut proposal = Proposal::new(MAX_FAILURES);
         let mut action = Action::Read;
         let mut failures = 0;
         let mut last_error = String::new();
-        let mut stand = Stand::default();
+        let mut head_position = HeadPosition::default();
         loop {
             let event = match action {
                 Action::Read => match self.refresh().await {
-                    Ok(read) => {
-                        stand = read;
-                        self.answer_repeats(&mut batch);
+                    Ok(stored) => {
+                        head_position = stored;
+                        self.resolve_committed(&mut batch);
                         Event::Read {
-                            head: stand.changed,
+                            head: head_position.changed,
                             accepted: batch.is_empty(),
                         }
                     }
@@ -364,7 +367,7 @@
                         Event::Refused
                     }
                 },
-                Action::Write { .. } => match self.write(&mut batch, stand).await {
+                Action::Write { .. } => match self.commit(&mut batch, head_position).await {
                     Ok(event) => event,
                     Err(error) => {
                         last_error = error.to_string();
@@ -376,66 +379,72 @@
                     }
                 },
                 Action::Accepted => {
-                    self.answer_repeats(&mut batch);
+                    self.resolve_committed(&mut batch);
                     return;
                 }
                 Action::Rejected => return,
                 Action::Unavailable => {
-                    decide_all(batch, &Verdict::Unavailable(last_error));
+                    send_result_to_all(batch, &SubmitResult::Unavailable(last_error));
                     return;
                 }
                 Action::Unknown => {
-                    decide_all(batch, &Verdict::Unknown(last_error));
+                    send_result_to_all(batch, &SubmitResult::Unknown(last_error));
                     return;
                 }
             };
             if matches!(event, Event::Refused | Event::Lost) {
                 failures += 1;
-                clock::pause(RETRY_MILLIS * failures).await;
+                clock::pause(RETRY_DELAY_MILLIS * failures).await;
             }
             action = proposal.step(event);
         }
     }
 
-    /// Answers those of a batch that the catalogue shows to be accepted.
-    fn answer_repeats(&self, batch: &mut Vec<Pending>) {
+    /// Reports success for changes that the catalogue already contains.
+    fn resolve_committed(&self, batch: &mut Vec<PendingChange>) {
         let catalogue = self.process.catalogue_state.catalogue();
-        let mut rest = Vec::with_capacity(batch.len());
+        let mut remaining = Vec::with_capacity(batch.len());
         for pending in batch.drain(..) {
             match catalogue.accepted(pending.entry.identity) {
-                Some(revision) => decide(
+                Some(revision) => send_result(
                     pending,
-                    Verdict::Accepted {
+                    SubmitResult::Accepted {
                         revision,
                         repeated: true,
                     },
                 ),
-                None => rest.push(pending),
+                None => remaining.push(pending),
             }
         }
-        *batch = rest;
+        *batch = remaining;
     }
 
-    async fn write(&self, batch: &mut Vec<Pending>, stand: Stand) -> Result<Event, Error> {
+    async fn commit(
+        &self,
+        batch: &mut Vec<PendingChange>,
+        head_position: HeadPosition,
+    ) -> Result<Event, Error> {
         let catalogue = self.process.catalogue_state.catalogue();
-        if catalogue.revision() != stand.revision {
-            // The ledger has heard of a later revision from a peer meanwhile.
+        if catalogue.revision() != head_position.revision {
+            // A peer has sent a later revision since `head` was read.
             return Ok(Event::Moved);
         }
-        let Some((record, next)) = draft(&catalogue, batch) else {
+        let Some((record, next)) = build_record(&catalogue, batch) else {
             return Ok(Event::Invalid);
         };
-        let change = self.write_of(&record, &next, stand, batch[0].fence);
+        let change = self.build_write(&record, &next, head_position, batch[0].fence);
         self.process.metrics.key_value_calls.inc();
         if !self
             .store
-            .note(self.store.client.commit(&change, clock::now()).await)?
+            .record_result(self.store.client.commit(&change, clock::now()).await)?
         {
-            if batch[0].fence.is_some() && self.read_head().await?.changed == stand.changed {
-                // It was the planner's key that moved: the fence has passed to another.
-                decide_all(
+            if batch[0].fence.is_some() && self.read_head().await?.changed == head_position.changed
+            {
+                // `head` is unchanged, so the planner's key has changed: another planner holds the
+                // lease.
+                send_result_to_all(
                     std::mem::take(batch),
-                    &Verdict::Unavailable("fenced".to_owned()),
+                    &SubmitResult::Unavailable("fenced".to_owned()),
                 );
                 return Ok(Event::Invalid);
             }
@@ -445,9 +454,9 @@
             .catalogue_state
             .apply_record(&record, Origin::KeyValue);
         for pending in batch.drain(..) {
-            decide(
+            send_result(
                 pending,
-                Verdict::Accepted {
+                SubmitResult::Accepted {
                     revision: record.revision,
                     repeated: false,
                 },
@@ -456,11 +465,11 @@
         Ok(Event::Written)
     }
 
-    fn write_of(
+    fn build_write(
         &self,
         record: &Record,
         next: &Catalogue,
-        stand: Stand,
+        head_position: HeadPosition,
         fence: Option<Fence>,
     ) -> Change {
         let store = &self.store;
@@ -468,18 +477,22 @@
             revision: record.revision,
         };
         let mut change = Change::default()
-            .guard(&store.key("head"), stand.changed)
+            .guard(&store.key("head"), head_position.changed)
             .put(&store.key("head"), encode(&head))
             .put(&store.record_key(record.revision), encode(record));
         if let Some(fence) = fence {
             change = change.guard(&store.key("planner"), fence.changed);
         }
-        if record.revision.0.is_multiple_of(SNAPSHOT_EVERY) {
+        if record
+            .revision
+            .0
+            .is_multiple_of(SNAPSHOT_INTERVAL_REVISIONS)
+        {
             change = change.put(&store.key("snapshot"), next.to_snapshot());
             let oldest_kept = record
                 .revision
                 .0
-                .saturating_sub(store.records_kept.max(SNAPSHOT_EVERY));
+                .saturating_sub(store.records_kept.max(SNAPSHOT_INTERVAL_REVISIONS));
             let first = store.record_key(Revision(0));
             change = change.remove(Range {
                 first,
@@ -490,12 +503,16 @@
     }
 }
 
-/// The record of those of a batch that the catalogue's rules allow; the others are told why not.
-fn draft(catalogue: &Catalogue, batch: &mut Vec<Pending>) -> Option<(Record, Catalogue)> {
+/// Builds a record from the changes that the catalogue's rules allow; reports the refusal of the
+/// others.
+fn build_record(
+    catalogue: &Catalogue,
+    batch: &mut Vec<PendingChange>,
+) -> Option<(Record, Catalogue)> {
     let revision = catalogue.revision().next();
     let mut entries: Vec<LogEntry> = Vec::new();
-    let mut kept = Vec::new();
-    let mut drafted = None;
+    let mut allowed = Vec::new();
+    let mut built = None;
     for pending in batch.drain(..) {
         entries.push(pending.entry.clone());
         let record = Record {
@@ -505,27 +522,27 @@
         let mut next = catalogue.clone();
         match next.apply(&record) {
             Ok(()) => {
-                kept.push(pending);
-                drafted = Some((record, next));
+                allowed.push(pending);
+                built = Some((record, next));
             }
             Err(refusal) => {
                 entries.pop();
-                decide(pending, Verdict::Refused(refusal));
+                send_result(pending, SubmitResult::Refused(refusal));
             }
         }
     }
-    *batch = kept;
-    drafted
+    *batch = allowed;
+    built
 }
 
-fn decide(pending: Pending, verdict: Verdict) {
-    // Whoever asked may have gone away; the change stands all the same.
-    let _ = pending.verdict.send(verdict);
+fn send_result(pending: PendingChange, result: SubmitResult) {
+    // The submitter may have ended; the result stands.
+    let _ = pending.result_sender.send(result);
 }
 
-fn decide_all(batch: Vec<Pending>, verdict: &Verdict) {
+fn send_result_to_all(batch: Vec<PendingChange>, result: &SubmitResult) {
     for pending in batch {
-        decide(pending, verdict.clone());
+        send_result(pending, result.clone());
     }
 }
 
@@ -534,8 +551,8 @@
 }
 
 fn decode<T: for<'b> Decode<'b, ()>>(item: &Item) -> Result<T, Error> {
-    let unreadable = |what: minicbor::decode::Error| {
-        let fault = Fault::Unreadable(what.to_string());
+    let unreadable = |error: minicbor::decode::Error| {
+        let fault = Fault::Unreadable(error.to_string());
         Error::new(gingerpier_services::Step::ReadKey, &item.key, fault)
     };
     minicbor::decode(&item.value).map_err(unreadable)
--- a/crates/gingerpier_daemon/src/entry/tickets.rs
+++ b/crates/gingerpier_daemon/src/entry/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets at an entry box: its own, and others' through their owners.
+//! Claims and settles tickets, at this entry box or at the one that issued them.
 
 use {
     super::Entry,
@@ -14,30 +14,30 @@
     std::time::Duration,
 };
 
-/// Time for an owner's answer.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout of a ticket owner's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The right to run a ticket's request once.
+/// Permission to run the request of a ticket once.
 #[derive(Debug, Clone, Copy)]
 pub struct Grant {
-    /// Its ticket.
+    /// Claimed ticket.
     pub ticket: Ticket,
-    /// Number of the grant.
+    /// Number of the claim, needed to settle it.
     pub number: u32,
 }
 
 impl Entry {
-    /// Asks the ticket's owner for the right to run its request here.
+    /// Claims a ticket at its owner for a request that runs here.
     pub async fn claim(&self, ticket: Ticket) -> Verdict {
         let holder = self.process.hello.incarnation;
         if ticket.owner == holder {
             return self.claims.borrow_mut().claim(ticket, holder, clock::now());
         }
-        // An owner that is gone, or out of reach, can't tell what became of earlier tries.
+        // Without its owner, the result of earlier claims is unknown.
         let Some(link) = self.link_to_owner(ticket.owner) else {
             return Verdict::Unknown;
         };
-        match ask(&link, &Request::Claim { ticket, holder }).await {
+        match send_request(&link, &Request::Claim { ticket, holder }).await {
             Ok(Reply::Claimed(verdict)) => verdict,
             Ok(_) => Verdict::Unknown,
             Err(error) => {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Tells the ticket's owner what became of a grant.
+    /// Reports the result of a granted request to the ticket's owner.
     pub async fn settle(&self, grant: Grant, settlement: Settlement) {
         let Grant { ticket, number } = grant;
         if ticket.owner == self.process.hello.incarnation {
@@ -62,34 +62,34 @@
             grant: number,
             settlement,
         };
-        if let Err(error) = ask(&link, &request).await {
+        if let Err(error) = send_request(&link, &request).await {
             tracing::warn!(event = "settlement_lost", ticket = %ticket, %error);
         }
     }
 
     fn link_to_owner(&self, owner: Incarnation) -> Option<Link> {
         let members = self.members.borrow();
-        let owned = |member: &Member| member.incarnation() == Some(owner);
-        let (key, _) = members.iter().find(|(_, member)| owned(member))?;
+        let is_owner = |member: &Member| member.incarnation() == Some(owner);
+        let (key, _) = members.iter().find(|(_, member)| is_owner(member))?;
         self.links.get(key)
     }
 }
 
-async fn ask(link: &Link, request: &Request) -> Result<Reply, Error> {
-    let asked = async {
+async fn send_request(link: &Link, request: &Request) -> Result<Reply, Error> {
+    let response = async {
         let mut stream = link.open().await?;
         stream.send(request).await?;
         stream.finish();
         stream.receive::<Reply>().await
     };
-    let late = || {
+    let timeout_error = || {
         Error::new(
             gingerpier_link::Step::Receive,
             link.peer(),
-            "no answer in time",
+            "no response before the timeout",
         )
     };
-    actix_rt::time::timeout(PATIENCE, asked)
+    actix_rt::time::timeout(RESPONSE_TIMEOUT, response)
         .await
-        .unwrap_or_else(|_| Err(late()))
+        .unwrap_or_else(|_| Err(timeout_error()))
 }
