--- a/crates/gingerpier_daemon/src/backend/attempts.rs
+++ b/crates/gingerpier_daemon/src/backend/attempts.rs
@@ -189,7 +189,7 @@
                     others: load_from_others,
                 }
             }
-            \{ => Outcome::Incomplete(why) => { => {
+            Outcome::Incomplete(why) => {
                 self.attempts.record_end(attempt.key);
                 tracing::warn!(event = "attempt_broken", request = attempt.request,
                     engine = %attempt.engine, why);
@@ -234,7 +234,7 @@
             return Outcome::NotRun(Refusal::Full);
         }
         if let Err(reason) = check_version(attempt, &response) {
-            return \{ => Outcome::Incomplete(why) => {;
+            return Outcome::Incomplete(reason);
         }
         if !has_detectable_end(&response) {
             return Outcome::Incomplete(
--- a/crates/gingerpier_daemon/src/backend/chunk_requests.rs
+++ b/crates/gingerpier_daemon/src/backend/chunk_requests.rs
@@ -21,6 +21,7 @@
     tokio::sync::mpsc,
 };
 
+/// Result of a request for a chunk.
 pub(super) struct FinishedRequest {
     pub(super) chunk: u32,
     pub(super) attempt: u64,
@@ -120,12 +121,7 @@
             Err(Failure::Busy(until)) => Outcome::Refused(until),
             Err(Failure::Failed(why)) => {
                 let source = self.fetch.describe(self.source);
-                tracing::debug!(
-                    event = "source_failed",
-                    chunk = self.chunk,
-                    source,
-                    why
-                );
+                tracing::debug!(event = "source_failed", chunk = self.chunk, source, why);
                 Outcome::Failed
             }
         }
--- a/crates/gingerpier_daemon/src/backend/fetches.rs
+++ b/crates/gingerpier_daemon/src/backend/fetches.rs
@@ -40,11 +40,15 @@
 /// Fetch of a version, running or complete.
 pub struct VersionFetch {
     pub(super) version: Digest,
-    pub(super) state: RefCell<Option<Fetch>>,
+    /// Scheduler of requests; `None` until the manifest is known.
+    pub(super) scheduler: RefCell<Option<Fetch>>,
+    /// The manifest, once all chunks are cached.
     pub(super) complete: RefCell<Option<Rc<Manifest>>>,
+    /// Error that delays the fetch.
     pub(super) error: RefCell<Option<String>>,
     pub(super) origin_bytes: Cell<u64>,
     pub(super) peer_bytes: Cell<u64>,
+    /// Partial chunks by index.
     pub(super) partial_chunks: RefCell<BTreeMap<u32, PartialChunk>>,
     /// Inputs of the current plan.
     plan_inputs: Cell<Option<PlanInputs>>,
@@ -78,7 +82,7 @@
 impl VersionFetch {
     /// Returns the progress of the fetch.
     pub fn progress(&self) -> Progress {
-        let state = self.state.borrow();
+        let state = self.scheduler.borrow();
         Progress {
             cached_chunks: state.as_ref().map_or(0, Fetch::cached_count),
             total_chunks: state.as_ref().map_or(0, Fetch::chunk_count),
@@ -98,7 +102,7 @@
     }
 
     pub(super) fn record_progress(&self, chunk: u32, attempt: u64) {
-        if let Some(state) = self.state.borrow_mut().as_mut() {
+        if let Some(state) = self.scheduler.borrow_mut().as_mut() {
             state.record_progress(chunk, attempt, clock::now());
         }
     }
@@ -107,7 +111,7 @@
     pub(super) fn record_message(&self, source: Source, chunk: u32, attempt: u64) {
         let now = clock::now();
         self.last_message_at.borrow_mut().insert(source, now);
-        if let Some(state) = self.state.borrow_mut().as_mut() {
+        if let Some(state) = self.scheduler.borrow_mut().as_mut() {
             state.record_progress(chunk, attempt, now);
             match source.replica() {
                 Some(peer) => state.record_peer_message(peer, now),
@@ -117,7 +121,7 @@
     }
 
     pub(super) fn request_ahead(&self, chunk: u32) {
-        if let Some(state) = self.state.borrow_mut().as_mut() {
+        if let Some(state) = self.scheduler.borrow_mut().as_mut() {
             state.request_ahead(chunk);
         }
     }
@@ -141,7 +145,7 @@
         }
         let fetch = Rc::new(VersionFetch {
             version,
-            state: RefCell::new(None),
+            scheduler: RefCell::new(None),
             complete: RefCell::new(None),
             error: RefCell::new(None),
             origin_bytes: Cell::new(0),
@@ -183,7 +187,7 @@
             };
             self.update_plan(&fetch, &manifest);
             let now = clock::now();
-            if let Some(state) = fetch.state.borrow_mut().as_mut() {
+            if let Some(state) = fetch.scheduler.borrow_mut().as_mut() {
                 state.record_poll(next_poll_at, now);
                 state.poll(now, &mut actions);
             }
@@ -237,7 +241,7 @@
                 let Some(fetch) = weak_fetch.upgrade() else {
                     return;
                 };
-                if let Some(state) = fetch.state.borrow_mut().as_mut() {
+                if let Some(state) = fetch.scheduler.borrow_mut().as_mut() {
                     state.record_outcome(chunk, attempt, outcome, clock::now());
                 }
             }
@@ -271,12 +275,12 @@
             return;
         }
         let replicas = self.replicas(fetch.version);
-        let has_state = fetch.state.borrow().is_some();
+        let has_state = fetch.scheduler.borrow().is_some();
         if has_state && *fetch.replicas.borrow() == replicas {
             return;
         }
         let (plan, own_index) = self.plan(fetch.version, &replicas);
-        let mut state = fetch.state.borrow_mut();
+        let mut state = fetch.scheduler.borrow_mut();
         match state.as_mut() {
             Some(state) => state.replan(plan, own_index),
             None => {
--- a/crates/gingerpier_daemon/src/backend/mod.rs
+++ b/crates/gingerpier_daemon/src/backend/mod.rs
@@ -79,7 +79,7 @@
         println!("ready peers={} metrics={metrics}", hello.address);
         tracing::info!(event = "started", role = "backend", name = %hello.name,
             zone = %hello.zone.name, incarnation = %hello.incarnation, address = hello.address);
-        process.left().await;
+        process.wait_until_leaving().await;
         backend.drain().await;
         process.close().await;
         Ok(())
@@ -166,7 +166,7 @@
                 self.notify_status_changed();
                 let catalogue = self.process.catalogue_state.catalogue();
                 if catalogue.withdrawal(&self.process.hello.name) == Some(Withdrawal::Stop) {
-                    self.process.leave();
+                    self.process.start_leaving();
                 }
             }
         });
--- a/crates/gingerpier_daemon/src/backend/peers.rs
+++ b/crates/gingerpier_daemon/src/backend/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{Backend, serving::LastSent},
-    crate::{catalogue_state::Origin, clock},
+    crate::{catalogue_state::UpdateSource, clock},
     gingerpier_base::{
         Name,
         place::{Incarnation, Role},
@@ -172,7 +172,7 @@
     async fn apply_inform(&self, mut stream: Stream, inform: &Inform, link: &Link) {
         self.process
             .catalogue_state
-            .apply_inform(inform, Origin::OwnZone);
+            .apply_inform(inform, UpdateSource::OwnZone);
         if !inform.boxes.is_empty() {
             self.directory.replace_list(link, &inform.boxes);
         }
--- a/crates/gingerpier_daemon/src/catalogue_state.rs
+++ b/crates/gingerpier_daemon/src/catalogue_state.rs
@@ -18,7 +18,7 @@
 
 /// Where the update to the current revision came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Origin {
+pub enum UpdateSource {
     /// The key-value service.
     KeyValue,
     /// A process of the same zone.
@@ -31,7 +31,7 @@
 pub struct CatalogueState {
     catalogue: RefCell<Rc<Catalogue>>,
     recent_records: RefCell<VecDeque<Rc<Record>>>,
-    origin: Cell<Origin>,
+    update_source: Cell<UpdateSource>,
     revision: watch::Sender<Revision>,
 }
 
@@ -40,7 +40,7 @@
         Self {
             catalogue: RefCell::default(),
             recent_records: RefCell::default(),
-            origin: Cell::new(Origin::KeyValue),
+            update_source: Cell::new(UpdateSource::KeyValue),
             revision: watch::Sender::new(Revision::default()),
         }
     }
@@ -63,12 +63,12 @@
     }
 
     /// Returns the source of the current revision.
-    pub fn origin(&self) -> Origin {
-        self.origin.get()
+    pub fn update_source(&self) -> UpdateSource {
+        self.update_source.get()
     }
 
     /// Applies a record if it is the next revision; returns true if it was applied.
-    pub fn apply_record(&self, record: &Record, origin: Origin) -> bool {
+    pub fn apply_record(&self, record: &Record, update_source: UpdateSource) -> bool {
         let mut next = Catalogue::clone(&self.catalogue.borrow());
         if let Err(error) = next.apply(record) {
             if record.revision == self.revision().next() {
@@ -82,12 +82,12 @@
             recent_records.pop_front();
         }
         drop(recent_records);
-        self.publish(next, origin);
+        self.publish(next, update_source);
         true
     }
 
     /// Replaces the catalogue by a snapshot if that is newer; returns true if it was replaced.
-    pub fn install_snapshot(&self, bytes: &[u8], origin: Origin) -> bool {
+    pub fn install_snapshot(&self, bytes: &[u8], update_source: UpdateSource) -> bool {
         let snapshot = match Catalogue::from_snapshot(bytes) {
             Ok(snapshot) => snapshot,
             Err(error) => {
@@ -99,17 +99,17 @@
             return false;
         }
         self.recent_records.borrow_mut().clear();
-        self.publish(snapshot, origin);
+        self.publish(snapshot, update_source);
         true
     }
 
     /// Applies the snapshot and the records that a peer sent.
-    pub fn apply_inform(&self, update: &Inform, origin: Origin) {
+    pub fn apply_inform(&self, update: &Inform, update_source: UpdateSource) {
         if let Some(snapshot) = &update.snapshot {
-            self.install_snapshot(snapshot, origin);
+            self.install_snapshot(snapshot, update_source);
         }
         for record in &update.records {
-            self.apply_record(record, origin);
+            self.apply_record(record, update_source);
         }
     }
 
@@ -144,10 +144,10 @@
             .and_then(|record| record.entries.last().cloned())
     }
 
-    fn publish(&self, catalogue: Catalogue, origin: Origin) {
+    fn publish(&self, catalogue: Catalogue, update_source: UpdateSource) {
         let revision = catalogue.revision();
         self.catalogue.replace(Rc::new(catalogue));
-        self.origin.set(origin);
+        self.update_source.set(update_source);
         self.revision.send_replace(revision);
         tracing::info!(event = "in_force", revision = revision.0);
     }
--- a/crates/gingerpier_daemon/src/entry/caller_request.rs
+++ b/crates/gingerpier_daemon/src/entry/caller_request.rs
@@ -186,7 +186,7 @@
         };
         let catalogue = self.process.catalogue_state.catalogue();
         let zones = self.allowed_zones(&catalogue.model(key).contracts, &caller_request.account);
-        let mut admitted_version: Vec<AdmittedVersion> = match required {
+        let mut admitted_versions: Vec<AdmittedVersion> = match required {
             Some(required) => vec![required],
             None => catalogue
                 .open_versions(key)
@@ -194,12 +194,11 @@
                 .collect(),
         };
         let pools = |admitted_version: &AdmittedVersion| {
-            let workload = Workload::WeightsCache(
-                admitted_version.adapter.unwrap_or(admitted_version.weights),
-            );
+            let workload =
+                Workload::Weights(admitted_version.adapter.unwrap_or(admitted_version.weights));
             self.pools_of(&workload, &zones)
         };
-        let mut pool_sets: Vec<Vec<PoolKey>> = admitted_version.iter().map(pools).collect();
+        let mut pool_sets: Vec<Vec<PoolKey>> = admitted_versions.iter().map(pools).collect();
         match self
             .fleet
             .borrow_mut()
@@ -207,7 +206,7 @@
             .select_pools(&pool_sets, tried)
         {
             Some(selected) => (
-                Some(admitted_version.swap_remove(selected)),
+                Some(admitted_versions.swap_remove(selected)),
                 pool_sets.swap_remove(selected),
             ),
             None => (None, Vec::new()),
--- a/crates/gingerpier_daemon/src/entry/callers.rs
+++ b/crates/gingerpier_daemon/src/entry/callers.rs
@@ -95,7 +95,7 @@
     }
 
     async fn serve_caller(self: Rc<Self>, request: Request) -> Answer {
-        let request_id = header_text(&request, REQUEST_HEADER).filter(|id| is_identifier(id));
+        let request_id = header_value(&request, REQUEST_HEADER).filter(|id| is_identifier(id));
         let id = request_id.unwrap_or_else(|| format!("{:016x}", fastrand::u64(..)));
         match self.clone().route_caller(request, &id).await {
             Ok(answer) => answer,
@@ -112,7 +112,7 @@
                     outcome = error_response.outcome,
                     why = error_response.message
                 );
-                to_response(&error_response, &id)
+                build_error_response(&error_response, &id)
             }
         }
     }
@@ -159,7 +159,7 @@
     }
 
     fn account(&self, request: &Request) -> Result<Account, ErrorResponse> {
-        let token = header_text(request, header::AUTHORIZATION.as_str());
+        let token = header_value(request, header::AUTHORIZATION.as_str());
         let token = token
             .as_deref()
             .and_then(|value| value.strip_prefix("Bearer "));
@@ -185,10 +185,10 @@
         let mut claims = self.claims.borrow_mut();
         let now = clock::now();
         let tickets: Vec<String> = (0..count).map(|_| claims.issue(now).to_string()).collect();
-        let delay_millis = self.settings.requests.ticket_life.0;
+        let lifetime_millis = self.settings.requests.ticket_life.0;
         Ok(answer::json(
             200,
-            &json!({ "tickets": tickets, "good_for_millis": delay_millis }),
+            &json!({ "tickets": tickets, "good_for_millis": lifetime_millis }),
         ))
     }
 
@@ -230,7 +230,7 @@
             let message = format!("`{}` is not served to this client account", parsed.model);
             return Err(ErrorResponse::not_run(403, message));
         }
-        let prefix_hash = prompt_prefix(&parsed);
+        let prefix_hash = prompt_prefix_hash(&parsed);
         // Running a model twice has no side effects.
         let idempotency = idempotency(&request, Idempotency::Idempotent)?;
         let target = Target::Model(model);
@@ -245,7 +245,7 @@
             idempotency,
             prefix_hash,
         )?;
-        self.run_job(&request, caller_request).await
+        self.run_caller_request(&request, caller_request).await
     }
 
     async fn serve_service(
@@ -255,17 +255,17 @@
         id: &str,
     ) -> Result<Answer, ErrorResponse> {
         let body_bytes = self.read_body(&mut request).await?;
-        let parsed = request.uri().to_string();
-        let rest = &parsed[SERVICES_PATH.len()..];
+        let uri = request.uri().to_string();
+        let rest = &uri[SERVICES_PATH.len()..];
         let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
         let name: Name = name
             .parse()
             .map_err(|error| ErrorResponse::not_run(400, error))?;
-        let safe = matches!(
+        let is_safe = matches!(
             *request.method(),
             Method::GET | Method::HEAD | Method::OPTIONS
         );
-        let default = if safe {
+        let default = if is_safe {
             Idempotency::Idempotent
         } else {
             Idempotency::NonIdempotent
@@ -283,7 +283,7 @@
             idempotency,
             None,
         )?;
-        self.run_job(&request, caller_request).await
+        self.run_caller_request(&request, caller_request).await
     }
 
     #[expect(clippy::too_many_arguments, reason = "each is a part of one request")]
@@ -306,7 +306,7 @@
             target,
             method: request.method().to_string(),
             path,
-            content_type: header_text(request, header::CONTENT_TYPE.as_str()),
+            content_type: header_value(request, header::CONTENT_TYPE.as_str()),
             body,
             prefix_hash,
             idempotency,
@@ -317,18 +317,22 @@
 
     fn deadline(&self, request: &Request) -> Result<Instant, ErrorResponse> {
         let max_timeout_millis = self.settings.requests.patience.0;
-        let parsed = header_text(request, TIMEOUT_HEADER).map(|text| text.parse::<u64>());
-        let parsed = parsed.transpose().map_err(|_| {
+        let timeout_millis = header_value(request, TIMEOUT_HEADER).map(|text| text.parse::<u64>());
+        let timeout_millis = timeout_millis.transpose().map_err(|_| {
             ErrorResponse::not_run(
                 400,
                 format!("{TIMEOUT_HEADER} is a whole number of milliseconds"),
             )
         })?;
-        Ok(clock::now().after_millis(parsed.unwrap_or(max_timeout_millis).min(max_timeout_millis)))
+        Ok(clock::now().after_millis(
+            timeout_millis
+                .unwrap_or(max_timeout_millis)
+                .min(max_timeout_millis),
+        ))
     }
 
     /// Admits and forwards a request; returns its response, whose body is streamed.
-    async fn run_job(
+    async fn run_caller_request(
         self: Rc<Self>,
         request: &Request,
         mut caller_request: CallerRequest,
@@ -385,7 +389,7 @@
         request: &Request,
         caller_request: &CallerRequest,
     ) -> Result<Option<Grant>, ErrorResponse> {
-        let Some(key) = header_text(request, TICKET_HEADER) else {
+        let Some(key) = header_value(request, TICKET_HEADER) else {
             return Ok(None);
         };
         if caller_request.idempotency == Idempotency::Idempotent {
@@ -422,7 +426,7 @@
     }
 }
 
-fn header_text(request: &Request, name: &str) -> Option<String> {
+fn header_value(request: &Request, name: &str) -> Option<String> {
     Some(request.headers().get(name)?.to_str().ok()?.to_owned())
 }
 
@@ -436,7 +440,7 @@
 }
 
 fn idempotency(request: &Request, default: Idempotency) -> Result<Idempotency, ErrorResponse> {
-    match header_text(request, IDEMPOTENT_HEADER).as_deref() {
+    match header_value(request, IDEMPOTENT_HEADER).as_deref() {
         None => Ok(default),
         Some("yes") => Ok(Idempotency::Idempotent),
         Some("no") => Ok(Idempotency::NonIdempotent),
@@ -448,7 +452,7 @@
 }
 
 /// Returns the hash of the prompt's start, by which engines with a cached prefix are found.
-fn prompt_prefix(parsed: &ModelRequest) -> Option<u64> {
+fn prompt_prefix_hash(parsed: &ModelRequest) -> Option<u64> {
     let text = match (&parsed.prompt, &parsed.messages) {
         (serde_json::Value::String(prompt), _) => prompt.clone(),
         (_, messages) if messages.is_array() => messages.to_string(),
@@ -460,7 +464,7 @@
 
 fn final_error(reason: Reason, outcome: &'static str) -> ErrorResponse {
     let (status, message) = match reason {
-        Reason::NoneFree(_) => (503, "no engine may take the request now"),
+        Reason::NoneFree(_) => (503, "no engine can accept the request now"),
         Reason::Deadline => (504, "the deadline of the request has passed"),
         Reason::Retries => (503, "all attempts were refused"),
         Reason::LinkLost => (
@@ -479,7 +483,7 @@
     }
 }
 
-fn to_response(error_response: &ErrorResponse, id: &str) -> Answer {
+fn build_error_response(error_response: &ErrorResponse, id: &str) -> Answer {
     let ErrorResponse {
         status,
         outcome,
--- a/crates/gingerpier_daemon/src/entry/fleet.rs
+++ b/crates/gingerpier_daemon/src/entry/fleet.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Workload {
     /// Weights, by the digest of the version's or the adapter's manifest.
-    WeightsCache(Digest),
+    Weights(Digest),
     /// Plain service.
     Service(Name),
 }
@@ -89,10 +89,13 @@
 
     /// Returns the load and capacity of all usable engines.
     pub fn load_and_capacity(&self) -> (u64, u64) {
-        let is_usable = self.engines.iter().filter(|(_, engine)| engine.is_usable);
-        is_usable.fold((0, 0), |(load, capacity), (key, engine)| {
-            let current = u64::from(self.router.load(*key));
-            (load + current, capacity + u64::from(engine.status.capacity))
+        let usable_engines = self.engines.iter().filter(|(_, engine)| engine.is_usable);
+        usable_engines.fold((0, 0), |(load, capacity), (key, engine)| {
+            let engine_load = u64::from(self.router.load(*key));
+            (
+                load + engine_load,
+                capacity + u64::from(engine.status.capacity),
+            )
         })
     }
 
@@ -204,8 +207,6 @@
             return vec![Workload::Service(self.status.kind.clone())];
         }
         let weights = self.status.weights.iter().chain(&self.status.adapters);
-        weights
-            .map(|digest| Workload::WeightsCache(*digest))
-            .collect()
+        weights.map(|digest| Workload::Weights(*digest)).collect()
     }
 }
--- a/crates/gingerpier_daemon/src/entry/links.rs
+++ b/crates/gingerpier_daemon/src/entry/links.rs
@@ -113,7 +113,7 @@
             };
             if entry.name == self.process.hello.name {
                 if entry.leaving {
-                    self.process.leave();
+                    self.process.start_leaving();
                 }
                 continue;
             }
@@ -140,17 +140,17 @@
         address: &str,
         listing: Listing,
     ) -> BoxKey {
-        let known = self.members.borrow().key_of(name);
-        let before = known.map(|key| self.liveness(key));
+        let known_key = self.members.borrow().key_of(name);
+        let previous_liveness = known_key.map(|key| self.liveness(key));
         let key = self
             .members
             .borrow_mut()
             .record_listing(name, role, zone, address, listing);
-        if before != Some(self.liveness(key)) {
+        if previous_liveness != Some(self.liveness(key)) {
             self.update_usability(key);
             self.notify_boxes_changed();
         }
-        if known.is_none() {
+        if known_key.is_none() {
             actix_rt::spawn(self.clone().maintain_link(key));
         }
         key
@@ -276,8 +276,8 @@
                 }
             }
         };
-        let ended: Result<(), Error> = reports.await;
-        if let Err(error) = ended {
+        let result: Result<(), Error> = reports.await;
+        if let Err(error) = result {
             tracing::debug!(event = "reports_ended", %error);
         }
     }
@@ -291,9 +291,9 @@
             }
         }
         self.links.record_revision(key, status.revision);
-        let is_alive = self.liveness(key) == Liveness::Alive && !status.leaving;
+        let is_usable = self.liveness(key) == Liveness::Alive && !status.leaving;
         let mut fleet = self.fleet.borrow_mut();
-        fleet.record_status(key, &member.name, &member.zone, &status, is_alive);
+        fleet.record_status(key, &member.name, &member.zone, &status, is_usable);
         drop(fleet);
         self.links.statuses.borrow_mut().insert(key, status);
         self.notify_boxes_changed();
--- a/crates/gingerpier_daemon/src/entry/mod.rs
+++ b/crates/gingerpier_daemon/src/entry/mod.rs
@@ -96,7 +96,7 @@
         tracing::info!(event = "started", role = "entry", name = %process.hello.name,
             zone = %process.hello.zone.name, incarnation = %process.hello.incarnation,
             address = process.hello.address);
-        process.left().await;
+        process.wait_until_leaving().await;
         entry.drain().await;
         process.close().await;
         Ok(())
--- a/crates/gingerpier_daemon/src/entry/operators.rs
+++ b/crates/gingerpier_daemon/src/entry/operators.rs
@@ -67,7 +67,10 @@
             }
         };
         if request.method() != Method::POST || request.path() != operate::PATH {
-            return answer::text(404, &format!("operators ask POST {}", operate::PATH));
+            return answer::text(
+                404,
+                &format!("statements are sent by POST to {}", operate::PATH),
+            );
         }
         match body::json::<Asked>(&mut request, MAX_BODY_BYTES).await {
             Ok(request) => answer::json(200, &self.execute(&author, &request).await),
--- a/crates/gingerpier_daemon/src/entry/peers.rs
+++ b/crates/gingerpier_daemon/src/entry/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Entry,
-    crate::{backend::peers::finish_response, catalogue_state::Origin, clock},
+    crate::{backend::peers::finish_response, catalogue_state::UpdateSource, clock},
     gingerpier_base::place::{Role, Zone},
     gingerpier_link::{Link, Stream},
     gingerpier_membership::{BoxKey, Listing},
@@ -69,12 +69,12 @@
             Request::Inform(inform) => {
                 let zone = self.member_of(link).map(|(_, zone)| zone);
                 let is_own_zone = zone.as_ref() == Some(&self.process.hello.zone);
-                let origin = if is_own_zone {
-                    Origin::OwnZone
+                let source = if is_own_zone {
+                    UpdateSource::OwnZone
                 } else {
-                    Origin::OtherZone
+                    UpdateSource::OtherZone
                 };
-                self.process.catalogue_state.apply_inform(&inform, origin);
+                self.process.catalogue_state.apply_inform(&inform, source);
                 if self.process.catalogue_state.revision() < inform.revision {
                     self.request_missing_records(link).await;
                 }
--- a/crates/gingerpier_daemon/src/entry/planning.rs
+++ b/crates/gingerpier_daemon/src/entry/planning.rs
@@ -31,6 +31,7 @@
 const PLANNER_KEY: &str = "planner";
 
 #[derive(Debug, Clone, Copy)]
+/// Lease held by this entry box, and the fence for its writes.
 struct PlannerLease {
     lease: u64,
     fence: Fence,
--- a/crates/gingerpier_daemon/src/entry/queries.rs
+++ b/crates/gingerpier_daemon/src/entry/queries.rs
@@ -94,7 +94,7 @@
         ]);
         for (_, model) in catalogue
             .models()
-            .filter(|(_, assignment)| matches_filter(filter.model.as_ref(), &assignment.name))
+            .filter(|(_, model)| matches_filter(filter.model.as_ref(), &model.name))
         {
             let Some(rollout) = &model.rollout else {
                 continue;
@@ -104,7 +104,7 @@
             let serving_count = self
                 .fleet
                 .borrow()
-                .serving_count(&Workload::WeightsCache(version.manifest));
+                .serving_count(&Workload::Weights(version.manifest));
             let replicas: u32 = model
                 .contracts
                 .iter()
@@ -368,19 +368,20 @@
             ..
         } = &query.filter;
         let status = &self.engine.status;
-        let draining = !self.engine.is_usable || status.phase == Phase::Draining;
-        let loading = status.chunks_held < status.chunks_wanted || status.phase == Phase::Loading;
+        let is_draining = !self.engine.is_usable || status.phase == Phase::Draining;
+        let is_loading =
+            status.chunks_held < status.chunks_wanted || status.phase == Phase::Loading;
         let is_in_subject = match query.subject {
             Subject::Loaded => !self.loaded.is_empty(),
-            Subject::Loading => loading,
-            Subject::Live => !draining && self.loaded.iter().any(|key| is_open(catalogue, *key)),
-            Subject::Draining => draining,
+            Subject::Loading => is_loading,
+            Subject::Live => !is_draining && self.loaded.iter().any(|key| is_open(catalogue, *key)),
+            Subject::Draining => is_draining,
             _ => true,
         };
         let has_name = |key: &VersionKey| {
-            let assignment = catalogue.version(*key);
-            matches_filter(model.as_ref(), &catalogue.model(assignment.model).name)
-                && matches_filter(version.as_ref(), &assignment.name)
+            let entry = catalogue.version(*key);
+            matches_filter(model.as_ref(), &catalogue.model(entry.model).name)
+                && matches_filter(version.as_ref(), &entry.name)
         };
         let is_unfiltered = model.is_none() && version.is_none();
         is_in_subject
@@ -391,7 +392,7 @@
 
     fn cells(&self, catalogue: &Catalogue) -> [String; 12] {
         let status = &self.engine.status;
-        let assignment: Vec<String> = self
+        let labels: Vec<String> = self
             .loaded
             .iter()
             .map(|key| catalogue.label(*key))
@@ -407,10 +408,10 @@
                 "unusable"
             }
             .to_owned(),
-            if assignment.is_empty() {
+            if labels.is_empty() {
                 "-".to_owned()
             } else {
-                assignment.join(",")
+                labels.join(",")
             },
             format_or_dash(self.assigned.map(|key| catalogue.label(key))),
             format!("{}/{}", status.chunks_held, status.chunks_wanted),
--- a/crates/gingerpier_daemon/src/entry/requests.rs
+++ b/crates/gingerpier_daemon/src/entry/requests.rs
@@ -88,7 +88,7 @@
         self.record_request_start();
         self.budget.borrow_mut().record_first_attempt();
         let resumable = matches!(caller_request.target, Target::Model(_));
-        let max_attempts = self.settings.requests.max_attempts;
+        let max_attempts = self.settings.requests.tries;
         let lifecycle = Lifecycle::new(
             caller_request.idempotency,
             caller_request.deadline,
--- a/crates/gingerpier_daemon/src/entry/spreading.rs
+++ b/crates/gingerpier_daemon/src/entry/spreading.rs
@@ -11,7 +11,7 @@
 
 use {
     super::Entry,
-    crate::{catalogue_state::Origin, clock},
+    crate::{catalogue_state::UpdateSource, clock},
     gingerpier_base::{
         Name, order,
         place::{Role, Zone},
@@ -66,13 +66,13 @@
                     .push((key, member.name.clone()));
             }
         }
-        let origin = self.process.catalogue_state.origin();
+        let source = self.process.catalogue_state.update_source();
         let revision = self.process.catalogue_state.revision();
         for (zone, mut members) in entries_by_zone {
-            let max_recipients = match (origin, zone == *own_zone) {
-                (Origin::KeyValue | Origin::OtherZone, true) => usize::MAX,
-                (Origin::KeyValue, false) => MAX_RECIPIENTS_PER_OTHER_ZONE,
-                (Origin::OwnZone, _) | (Origin::OtherZone, false) => 0,
+            let max_recipients = match (source, zone == *own_zone) {
+                (UpdateSource::KeyValue | UpdateSource::OtherZone, true) => usize::MAX,
+                (UpdateSource::KeyValue, false) => MAX_RECIPIENTS_PER_OTHER_ZONE,
+                (UpdateSource::OwnZone, _) | (UpdateSource::OtherZone, false) => 0,
             };
             order::sort_by_score(revision.0, &mut members, |(_, name)| order::hash(name));
             for (key, _) in members.into_iter().take(max_recipients) {
@@ -148,12 +148,12 @@
         match actix_rt::time::timeout(RESPONSE_TIMEOUT, response).await {
             Ok(Ok(Reply::News(update))) => {
                 let is_own_zone = *zone == self.process.hello.zone;
-                let origin = if is_own_zone {
-                    Origin::OwnZone
+                let source = if is_own_zone {
+                    UpdateSource::OwnZone
                 } else {
-                    Origin::OtherZone
+                    UpdateSource::OtherZone
                 };
-                self.process.catalogue_state.apply_inform(&update, origin);
+                self.process.catalogue_state.apply_inform(&update, source);
                 self.links.record_revision(key, update.revision);
             }
             Ok(Ok(other)) => tracing::warn!(event = "sync_refused", answer = ?other),
--- a/crates/gingerpier_daemon/src/entry/store.rs
+++ b/crates/gingerpier_daemon/src/entry/store.rs
@@ -6,7 +6,7 @@
 
 use {
     super::Entry,
-    crate::{catalogue_state::Origin, clock},
+    crate::{catalogue_state::UpdateSource, clock},
     awc::Client as Http,
     gingerpier_base::order,
     gingerpier_catalogue::{
@@ -88,7 +88,7 @@
     result_sender: oneshot::Sender<SubmitResult>,
 }
 
-/// Returns the client of the service.
+/// Client of the key-value service with the queue of changes.
 pub struct Store {
     client: Client,
     prefix: String,
@@ -102,10 +102,10 @@
 impl Store {
     /// Creates the client from an entry box's settings.
     pub fn new(settings: &Settings, http: Http) -> Self {
-        let patience = Duration::from_millis(settings.patience.0);
+        let timeout = Duration::from_millis(settings.patience.0);
         let (sender, receiver) = mpsc::unbounded_channel();
         Self {
-            client: Client::new(http, settings.url.clone(), patience),
+            client: Client::new(http, settings.url.clone(), timeout),
             prefix: settings.prefix.clone(),
             records_kept: settings.records_kept,
             max_watchers: settings.watchers as usize,
@@ -120,7 +120,7 @@
         self.is_reachable.get()
     }
 
-    /// Client of the service.
+    /// Returns the client of the service.
     pub const fn client(&self) -> &Client {
         &self.client
     }
@@ -247,7 +247,7 @@
             let record: Record = decode(item)?;
             self.process
                 .catalogue_state
-                .apply_record(&record, Origin::KeyValue);
+                .apply_record(&record, UpdateSource::KeyValue);
         }
         Ok(())
     }
@@ -261,7 +261,7 @@
         if let Some(item) = stored {
             self.process
                 .catalogue_state
-                .install_snapshot(&item.value, Origin::KeyValue);
+                .install_snapshot(&item.value, UpdateSource::KeyValue);
         }
         Ok(())
     }
@@ -354,8 +354,8 @@
         loop {
             let event = match action {
                 Action::Read => match self.refresh().await {
-                    Ok(stored) => {
-                        head_position = stored;
+                    Ok(position) => {
+                        head_position = position;
                         self.resolve_committed(&mut batch);
                         Event::Read {
                             head: head_position.changed,
@@ -452,7 +452,7 @@
         }
         self.process
             .catalogue_state
-            .apply_record(&record, Origin::KeyValue);
+            .apply_record(&record, UpdateSource::KeyValue);
         for pending in batch.drain(..) {
             send_result(
                 pending,
--- a/crates/gingerpier_daemon/src/process.rs
+++ b/crates/gingerpier_daemon/src/process.rs
@@ -104,14 +104,14 @@
     }
 
     /// Starts the shutdown; it can't be cancelled.
-    pub fn leave(&self) {
+    pub fn start_leaving(&self) {
         if !self.leaving.send_replace(true) {
             tracing::info!(event = "leaving");
         }
     }
 
     /// Waits until shutdown starts.
-    pub async fn left(&self) {
+    pub async fn wait_until_leaving(&self) {
         let mut leaving = self.leaving.subscribe();
         // The sender is owned by `self`, so this can't fail.
         let _ = leaving.wait_for(|leaving| *leaving).await;
@@ -221,7 +221,7 @@
             match signal(SignalKind::terminate()) {
                 Ok(mut terminate) => {
                     terminate.recv().await;
-                    process.leave();
+                    process.start_leaving();
                 }
                 Err(error) => tracing::error!(event = "no_signals", %error),
             }
--- a/crates/gingerpier_daemon/tests/handshakes.rs
+++ b/crates/gingerpier_daemon/tests/handshakes.rs
@@ -1,4 +1,4 @@
-//! Links that peers make while another peer's handshake stands still.
+//! Links that are established while another peer's handshake is unfinished.
 
 use {
     gingerpier_base::{
@@ -18,55 +18,55 @@
     tokio::{net::UdpSocket, sync::mpsc},
 };
 
-type Wrong = Box<dyn error::Error>;
+type TestError = Box<dyn error::Error>;
 
-/// Far less than the silence after which a handshake is given up.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// The longest datagram.
-const DATAGRAM_BYTES: usize = 64 << 10;
+/// Well below the timeout of a handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Limit on the size of a datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Folder of keys, removed at the end.
-struct Keys {
+/// Temporary directory with keys; removed on drop.
+struct TestKeys {
     folder: PathBuf,
     authority: Authority,
 }
 
-impl Drop for Keys {
+impl Drop for TestKeys {
     fn drop(&mut self) {
-        // What is left lies in the system's folder for such files.
+        // Remaining files are in the system's directory for temporary files.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Keys {
-    fn new() -> Result<Self, Wrong> {
+impl TestKeys {
+    fn new() -> Result<Self, TestError> {
         let folder = env::temp_dir().join(format!("gingerpier-{:016x}", fastrand::u64(..)));
         let authority = Authority::open_or_create(&folder.join("authority"))?;
         Ok(Self { folder, authority })
     }
 
-    fn issue(&self, identity: &Identity) -> Result<PathBuf, Wrong> {
+    fn issue(&self, identity: &Identity) -> Result<PathBuf, TestError> {
         let folder = self.folder.join(identity.name.to_string());
         self.authority.issue(identity, &folder)?;
         Ok(folder)
     }
 }
 
-fn local() -> SocketAddr {
+fn local_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn backend(name: &str) -> Result<Identity, Wrong> {
+fn backend_identity(name: &str) -> Result<Identity, TestError> {
     let name = name.parse()?;
     let role = Role::Backend;
     Ok(Identity { role, name })
 }
 
-fn endpoint(keys: &Path) -> Result<Endpoint, Wrong> {
-    Ok(Endpoint::bind(local(), &Credentials::read(keys)?)?)
+fn endpoint(keys: &Path) -> Result<Endpoint, TestError> {
+    Ok(Endpoint::bind(local_address(), &Credentials::read(keys)?)?)
 }
 
-fn process(identity: &Identity, keys: PathBuf) -> Result<Rc<Process>, Wrong> {
+fn start_process(identity: &Identity, keys: PathBuf) -> Result<Rc<Process>, TestError> {
     let zone = Zone {
         region: "kerala-south".parse()?,
         name: "trivandrum".parse()?,
@@ -76,47 +76,59 @@
         zone,
         keys,
     };
-    Ok(Rc::new(Process::bind(identity.role, &settings, local())?))
+    Ok(Rc::new(Process::bind(
+        identity.role,
+        &settings,
+        local_address(),
+    )?))
 }
 
-/// Connects to `to` with the first datagram, and with nothing after it.
-async fn begin_handshake(from: Endpoint, to: SocketAddr, peer: &Identity) -> Result<(), Wrong> {
-    let relay = UdpSocket::bind(local()).await?;
-    let address = relay.local_addr()?;
+/// Sends the first datagram of a handshake to `server_address`, and nothing after it.
+async fn start_handshake(
+    client: Endpoint,
+    server_address: SocketAddr,
+    peer: &Identity,
+) -> Result<(), TestError> {
+    let socket = UdpSocket::bind(local_address()).await?;
+    let socket_address = socket.local_addr()?;
     let peer = peer.clone();
-    actix_rt::spawn(async move { from.connect(address, &peer).await.map(|_| ()) });
-    let mut datagram = vec![0; DATAGRAM_BYTES];
-    let length = relay.recv(&mut datagram).await?;
-    relay.send_to(&datagram[..length], to).await?;
-    // The answer shows that the handshake has begun at the other end.
-    relay.recv(&mut datagram).await?;
+    actix_rt::spawn(async move { client.connect(socket_address, &peer).await.map(|_| ()) });
+    let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
+    let length = socket.recv(&mut datagram).await?;
+    socket.send_to(&datagram[..length], server_address).await?;
+    // The response shows that the server has started the handshake.
+    socket.recv(&mut datagram).await?;
     Ok(())
 }
 
 #[actix_rt::test]
-async fn a_peer_that_falls_silent_in_its_handshake_holds_up_nobody() -> Result<(), Wrong> {
-    let keys = Keys::new()?;
-    let server = backend("trivandrum-b0")?;
-    let process = process(&server, keys.issue(&server)?)?;
-    let address = process.hello.address.parse()?;
-    let (sender, mut served) = mpsc::unbounded_channel::<Name>();
-    let serving = process.clone();
+async fn an_unfinished_handshake_does_not_block_other_peers() -> Result<(), TestError> {
+    let keys = TestKeys::new()?;
+    let server_identity = backend_identity("trivandrum-b0")?;
+    let process = start_process(&server_identity, keys.issue(&server_identity)?)?;
+    let server_address = process.hello.address.parse()?;
+    let (sender, mut links) = mpsc::unbounded_channel::<Name>();
+    let accepting = process.clone();
     actix_rt::spawn(async move {
         let serve = move |link: gingerpier_link::Link| {
-            let sent = sender.send(link.peer().name.clone());
-            async move { sent.expect("the test listens") }
+            let result = sender.send(link.peer().name.clone());
+            async move { result.expect("the receiver lives until the end of the test") }
         };
-        serving.accept(serve).await;
+        accepting.accept(serve).await;
     });
 
-    let silent = endpoint(&keys.issue(&backend("trivandrum-b1")?)?)?;
-    begin_handshake(silent, address, &server).await?;
+    let stalled_client = endpoint(&keys.issue(&backend_identity("trivandrum-b1")?)?)?;
+    start_handshake(stalled_client, server_address, &server_identity).await?;
 
-    let other = backend("trivandrum-b2")?;
-    let asker = endpoint(&keys.issue(&other)?)?;
-    let link = actix_rt::time::timeout(PATIENCE, asker.connect(address, &server)).await??;
-    assert_eq!(*link.peer(), server);
-    let served = actix_rt::time::timeout(PATIENCE, served.recv()).await?;
-    assert_eq!(served, Some(other.name));
+    let client_identity = backend_identity("trivandrum-b2")?;
+    let client = endpoint(&keys.issue(&client_identity)?)?;
+    let link = actix_rt::time::timeout(
+        CONNECT_TIMEOUT,
+        client.connect(server_address, &server_identity),
+    )
+    .await??;
+    assert_eq!(*link.peer(), server_identity);
+    let linked_peer = actix_rt::time::timeout(CONNECT_TIMEOUT, links.recv()).await?;
+    assert_eq!(linked_peer, Some(client_identity.name));
     Ok(())
 }
