--- a/crates/gingerpier_daemon/src/backend/mod.rs
+++ b/crates/gingerpier_daemon/src/backend/mod.rs
@@ -109,7 +109,7 @@
             .find(|upstream| upstream.name == *name)
     }
 
-    /// Notifies entry boxes' reports that the status may have changed.
+    /// Triggers a status report to entry boxes if the status has changed.
     pub fn notify_status_changed(&self) {
         self.changes.send_modify(|changes| *changes += 1);
     }
--- a/crates/gingerpier_daemon/src/backend/peers.rs
+++ b/crates/gingerpier_daemon/src/backend/peers.rs
@@ -226,7 +226,7 @@
             return Ok(link.clone());
         }
         let address = peer.address.parse();
-        let address = address.map_err(|what| Error::new(Step::Connect, &peer.name, what))?;
+        let address = address.map_err(|cause| Error::new(Step::Connect, &peer.name, cause))?;
         let identity = Identity {
             role: Role::Backend,
             name: peer.name.clone(),
--- a/crates/gingerpier_daemon/src/backend/weights.rs
+++ b/crates/gingerpier_daemon/src/backend/weights.rs
@@ -1,7 +1,6 @@
 //! Cache of chunks and manifests in memory, keyed by digest.
 //!
 //! Versions share equal chunks; chunks that no cached version references are dropped.
-//!
 
 use {
     super::fetches::VersionFetch,
--- a/crates/gingerpier_daemon/src/error.rs
+++ b/crates/gingerpier_daemon/src/error.rs
@@ -35,7 +35,7 @@
         expected: String,
     },
     /// {0}
-    Hosted(gingerpier_gateway::error::Error),
+    Gateway(gingerpier_gateway::error::Error),
     /// {0}
     Link(gingerpier_link::Error),
     /// listening on {address}: {cause}
--- a/crates/gingerpier_daemon/src/process.rs
+++ b/crates/gingerpier_daemon/src/process.rs
@@ -284,8 +284,8 @@
     let (actual, expected) = (actual.to_string(), expected.to_string());
     Err(Error::Identity {
         keys: identity.keys.clone(),
-        actual: actual,
-        expected: expected,
+        actual,
+        expected,
     })
 }
 
--- a/crates/gingerpier_daemon/src/run.rs
+++ b/crates/gingerpier_daemon/src/run.rs
@@ -34,10 +34,10 @@
         match settings {
             Settings::Gateway(settings) => gingerpier_gateway::gateway::run(*settings, &Platform)
                 .await
-                .map_err(Error::Hosted),
+                .map_err(Error::Gateway),
             Settings::Loader(settings) => gingerpier_gateway::loader::run(*settings, &Platform)
                 .await
-                .map_err(Error::Hosted),
+                .map_err(Error::Gateway),
             other => run_daemon(path, other).await,
         }
     })
