--- a/crates/gingerpier_catalogue/src/command.rs
+++ b/crates/gingerpier_catalogue/src/command.rs
@@ -1,76 +1,76 @@
-//! What operators and the planner ask for.
+//! Commands of operators and of the planner.
 //!
-//! The field tags are the format kept in the key-value service: a tag is never given a second
-//! meaning, and new fields are optional.
+//! Commands are stored in the key-value service: field numbers are never reused, and new fields are
+//! optional.
 
 use {
     gingerpier_base::{Digest, Name},
     minicbor::{Decode, Encode},
 };
 
-/// A change of the configuration.
+/// A change to the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub enum Command {
-    /// A new model.
+    /// Creates a model.
     #[n(0)]
     CreateModel {
-        /// New name.
+        /// Name; must be unused.
         #[n(0)]
         model: Name,
-        /// Kind of engine that runs it.
+        /// Kind of engine that runs the model.
         #[n(1)]
         kind: Name,
     },
-    /// A new adapter, for the engines of its base.
+    /// Creates an adapter, which is loaded on the engines of its base model.
     #[n(16)]
     CreateAdapter {
-        /// New name.
+        /// Name; must be unused.
         #[n(0)]
         model: Name,
-        /// Model that the adapter belongs to.
+        /// Base model of the adapter.
         #[n(1)]
         base: Name,
     },
-    /// A new version of a model or adapter.
+    /// Creates a version of a model or adapter.
     #[n(1)]
     CreateVersion {
-        /// Its model.
+        /// Model or adapter.
         #[n(0)]
         model: Name,
-        /// New name within the model.
+        /// Name, unique within the model.
         #[n(1)]
         version: Name,
-        /// Digest of its manifest.
+        /// Digest of the version's manifest.
         #[n(2)]
         manifest: Digest,
-        /// Size of its weights, in bytes.
+        /// Size of the weights, in bytes.
         #[n(3)]
         bytes: u64,
-        /// Folder below the origin's root.
+        /// Path of the folder, relative to the origin's root.
         #[n(4)]
         source: String,
-        /// Base version that an adapter's version belongs to.
+        /// Base version that an adapter's version requires; none for a model.
         #[n(5)]
         base: Option<Name>,
     },
-    /// A new client account, or new terms for one.
+    /// Creates a client account, or replaces the settings of an existing one.
     #[n(2)]
     SetAccount {
         /// Name of the account.
         #[n(0)]
         account: Name,
-        /// Digest of the token its callers send.
+        /// Digest of the bearer token of the account.
         #[n(1)]
         key: Digest,
-        /// Requests a second over all entry boxes.
+        /// Rate limit in requests per second, over all entry boxes.
         #[n(2)]
         rate: u32,
-        /// 0 is served first.
+        /// Priority; 0 is the highest.
         #[n(3)]
         priority: u8,
     },
-    /// Where and for whom a model is served; no replicas ends it.
+    /// Sets replicas and accounts of a model in a zone; 0 replicas removes it from the zone.
     #[n(3)]
     Serve {
         /// Model or adapter.
@@ -79,72 +79,72 @@
         /// Availability zone.
         #[n(1)]
         zone: Name,
-        /// Engines that hold it there.
+        /// Number of engines that load the model in the zone.
         #[n(2)]
         replicas: u32,
-        /// Client accounts that may use it; all, where empty.
+        /// Client accounts that may use the model; empty for all accounts.
         #[n(3)]
         accounts: Vec<Name>,
     },
-    /// Bring a version into service by steps.
+    /// Starts a stepwise rollout of a version.
     #[n(4)]
     RollOut {
         /// Model or adapter.
         #[n(0)]
         model: Name,
-        /// Version to serve.
+        /// Target version.
         #[n(1)]
         version: Name,
-        /// Shares of the replicas, in percent, rising to 100.
+        /// Percentage of the replicas for each step, ascending to 100.
         #[n(2)]
         steps: Vec<u8>,
-        /// Abandons a rollout under way.
+        /// True to replace a rollout in progress.
         #[n(3)]
         replacing: bool,
     },
-    /// Hold a rollout where it is.
+    /// Pauses a rollout.
     #[n(5)]
     Pause {
         /// Model or adapter.
         #[n(0)]
         model: Name,
     },
-    /// Let a held rollout go on.
+    /// Resumes a paused rollout.
     #[n(6)]
     Resume {
         /// Model or adapter.
         #[n(0)]
         model: Name,
     },
-    /// Return to the version before.
+    /// Rolls back to the previous version.
     #[n(7)]
     GoBack {
         /// Model or adapter.
         #[n(0)]
         model: Name,
     },
-    /// Give a backend server no new work, and let what runs end.
+    /// Drains a backend server: no new requests, running requests complete.
     #[n(8)]
     Drain {
         /// Backend server.
         #[n(0)]
         server: Name,
     },
-    /// Take back a drain.
+    /// Cancels a drain.
     #[n(9)]
     Undrain {
         /// Backend server.
         #[n(0)]
         server: Name,
     },
-    /// Drain a backend server, then end its process.
+    /// Drains a backend server, then stops its process.
     #[n(10)]
     Stop {
         /// Backend server.
         #[n(0)]
         server: Name,
     },
-    /// The planner gives an engine a version to hold.
+    /// Assigns a version to an engine; sent by the planner.
     #[n(11)]
     Assign {
         /// Engine.
@@ -156,44 +156,44 @@
         /// Base model.
         #[n(2)]
         model: Name,
-        /// Version to hold.
+        /// Version to load.
         #[n(3)]
         version: Name,
         /// Availability zone of the engine.
         #[n(4)]
         zone: Name,
     },
-    /// The planner frees an engine.
+    /// Removes the assignment of an engine; sent by the planner.
     #[n(12)]
     Unassign {
         /// Engine.
         #[n(0)]
         engine: Name,
     },
-    /// The planner has seen a step of a rollout complete.
+    /// Completes a step of a rollout; sent by the planner.
     #[n(13)]
     Advance {
         /// Model or adapter.
         #[n(0)]
         model: Name,
-        /// Version rolled out.
+        /// Target version of the rollout.
         #[n(1)]
         version: Name,
-        /// Steps that were complete before.
+        /// Number of steps completed before this one.
         #[n(2)]
         reached: u32,
     },
-    /// Remove a version that is neither served nor assigned.
+    /// Deletes a version that is not in use.
     #[n(14)]
     DeleteVersion {
-        /// Its model.
+        /// Model or adapter.
         #[n(0)]
         model: Name,
         /// Version to remove.
         #[n(1)]
         version: Name,
     },
-    /// Remove a client account.
+    /// Deletes a client account.
     #[n(15)]
     DeleteAccount {
         /// Account to remove.
--- a/crates/gingerpier_catalogue/src/key.rs
+++ b/crates/gingerpier_catalogue/src/key.rs
@@ -1,17 +1,17 @@
-//! Small keys into the catalogue's arenas, the same at every process.
+//! Indices into the catalogue's tables, equal in all processes.
 
 use {
     minicbor::{Decode, Encode},
     std::fmt,
 };
 
-/// Revision of the configuration; dense, and only ever rising.
+/// Revision of the configuration; increases by 1 with each record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Encode, Decode)]
 #[cbor(transparent)]
 pub struct Revision(#[n(0)] pub u64);
 
 impl Revision {
-    /// Revision that follows.
+    /// Next revision.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -24,12 +24,12 @@
     }
 }
 
-/// Key of a model or adapter.
+/// Index of a model or adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct ModelKey(#[n(0)] pub u32);
 
-/// Key of a version.
+/// Index of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct VersionKey(#[n(0)] pub u32);
--- a/crates/gingerpier_catalogue/src/lib.rs
+++ b/crates/gingerpier_catalogue/src/lib.rs
@@ -1,9 +1,9 @@
 //! The configuration as a replicated state machine: commands, records, snapshots.
 //!
-//! Operators and the planner change the configuration by [`command::Command`]s. Accepted commands
-//! become [`record::Record`]s with dense revisions, kept in the platform's key-value service, and
-//! every process applies the same records in the same order to its own [`state::Catalogue`].
-//! Revisions only rise: a record or snapshot that is not newer is refused, whoever sends it.
+//! Operators and the planner change the configuration with [`command::Command`]s. Accepted commands
+//! are stored as [`record::Record`]s with consecutive revisions in the platform's key-value service.
+//! Every process applies the records in order to its own [`state::Catalogue`], which refuses records
+//! and snapshots that are not newer.
 //!
 //! ```
 //! use gingerpier_base::time::Stamp;
--- a/crates/gingerpier_catalogue/src/model.rs
+++ b/crates/gingerpier_catalogue/src/model.rs
@@ -1,4 +1,4 @@
-//! What the catalogue holds: models, versions, contracts with accounts, assignments.
+//! Objects of the catalogue: models, versions, contracts, accounts, assignments.
 
 use {
     crate::key::{ModelKey, Revision, VersionKey},
@@ -6,29 +6,29 @@
     minicbor::{Decode, Encode},
 };
 
-/// A model, or an adapter on one.
+/// A model, or an adapter of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Model {
-    /// Its name.
+    /// Unique name.
     #[n(0)]
     pub name: Name,
-    /// Kind of engine that runs it.
+    /// Kind of engine that runs the model.
     #[n(1)]
     pub kind: Name,
-    /// Model that an adapter belongs to.
+    /// Base model; none unless this is an adapter.
     #[n(2)]
     pub base: Option<ModelKey>,
-    /// Versions that take traffic: at most one, and for an adapter one for each base version.
+    /// Versions that receive traffic: at most one, or for an adapter one per base version.
     #[n(3)]
     pub live: Vec<VersionKey>,
-    /// Version that was live before, for `go back`.
+    /// Previous live version, the target of `go back`.
     #[n(4)]
     pub previous: Option<VersionKey>,
-    /// Rollout under way.
+    /// Rollout in progress.
     #[n(5)]
     pub rollout: Option<Rollout>,
-    /// Where and for whom it is served.
+    /// Zones in which the model is served.
     #[n(6)]
     pub contracts: Vec<Contract>,
 }
@@ -40,64 +40,64 @@
     /// Model or adapter.
     #[n(0)]
     pub model: ModelKey,
-    /// Its name within the model.
+    /// Name, unique within the model.
     #[n(1)]
     pub name: Name,
-    /// Digest of its manifest.
+    /// Digest of the manifest.
     #[n(2)]
     pub manifest: Digest,
-    /// Size of its weights, in bytes.
+    /// Size of the weights, in bytes.
     #[n(3)]
     pub bytes: u64,
-    /// Folder below the origin's root.
+    /// Path of the folder, relative to the origin's root.
     #[n(4)]
     pub source: String,
-    /// Base version that an adapter's version belongs to.
+    /// Base version that an adapter's version requires; none for a model.
     #[n(5)]
     pub base: Option<VersionKey>,
-    /// True once deleted; keys are not used again.
+    /// True if deleted; the key is not reused.
     #[n(6)]
     pub deleted: bool,
 }
 
-/// Service of a model in an availability zone.
+/// Replicas and permitted accounts of a model in an availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Contract {
     /// Availability zone.
     #[n(0)]
     pub zone: Name,
-    /// Engines that hold the model there.
+    /// Number of engines that load the model in the zone.
     #[n(1)]
     pub replicas: u32,
-    /// Client accounts that may use it; all, where empty.
+    /// Client accounts that may use the model; empty for all accounts.
     #[n(2)]
     pub accounts: Vec<Name>,
 }
 
-/// A version on its way into service.
+/// A stepwise rollout of a version.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Rollout {
-    /// Version to serve.
+    /// Target version.
     #[n(0)]
     pub to: VersionKey,
-    /// Shares of the replicas, in percent.
+    /// Percentage of the replicas for each step, ascending to 100.
     #[n(1)]
     pub steps: Vec<u8>,
-    /// Steps complete; the version takes traffic from the first on.
+    /// Number of completed steps; the version receives traffic after the first.
     #[n(2)]
     pub reached: u32,
-    /// Held by an operator.
+    /// True if paused by an operator.
     #[n(3)]
     pub paused: bool,
-    /// Revision that started it.
+    /// Revision that started the rollout.
     #[n(4)]
     pub since: Revision,
 }
 
 impl Rollout {
-    /// Share of the replicas that should hold the version now, in percent.
+    /// Percentage of the replicas that the current step requires to load the version.
     pub fn wanted_percent(&self) -> u8 {
         let reached = self.reached as usize;
         let index = if self.paused {
@@ -111,38 +111,38 @@
             .unwrap_or(0)
     }
 
-    /// True once the version may take traffic.
+    /// True if the version may receive traffic.
     pub const fn takes_traffic(&self) -> bool {
         self.reached > 0
     }
 }
 
-/// A client account's terms.
+/// Credentials and limits of a client account.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Account {
-    /// Its name.
+    /// Unique name.
     #[n(0)]
     pub name: Name,
-    /// Digest of the token its callers send.
+    /// Digest of the bearer token of the account.
     #[n(1)]
     pub key: Digest,
-    /// Requests a second over all entry boxes.
+    /// Rate limit in requests per second, over all entry boxes.
     #[n(2)]
     pub rate: u32,
-    /// 0 is served first.
+    /// Priority; 0 is the highest.
     #[n(3)]
     pub priority: u8,
 }
 
-/// Version that an engine is to hold.
+/// Assignment of a version to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Assignment {
-    /// Base version.
+    /// Assigned version of a base model.
     #[n(0)]
     pub version: VersionKey,
-    /// Revision of the assignment: the fence of the order to load it.
+    /// Revision of the assignment; used as the fence of the load order.
     #[n(1)]
     pub fence: Revision,
     /// Backend server of the engine.
@@ -153,14 +153,14 @@
     pub zone: Name,
 }
 
-/// Operators' word on a backend server.
+/// Operators' command to take a backend server out of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Withdrawal {
-    /// No new work.
+    /// No new requests.
     #[n(0)]
     Drain,
-    /// No new work, then the process ends; not taken back.
+    /// No new requests, then the process stops; cannot be undone.
     #[n(1)]
     Stop,
 }
--- a/crates/gingerpier_catalogue/src/proposal.rs
+++ b/crates/gingerpier_catalogue/src/proposal.rs
@@ -1,82 +1,82 @@
-//! How a change gets into the key-value service: at most once, although answers may be lost.
+//! Writes a change to the key-value service at most once, even if responses are lost.
 //!
-//! The write is a compare-and-swap on the head's revision in the key-value service, so that of
-//! several copies of one write, however late, only one can ever take effect. Where an answer is
-//! lost, the head is read again: if it has not moved, the same write is sent again; if it has,
-//! the catalogue tells by the request's identity whether it was this write that moved it.
+//! The write is a compare-and-swap on the store revision of the head key, so at most one of several
+//! copies of a write takes effect. After a lost response the head is read retry: if it is unchanged,
+//! the write is retried; otherwise the catalogue shows by the request's identity whether this write
+//! changed it.
 //!
 //! ```
 //! use gingerpier_catalogue::proposal::{Action, Event, Proposal};
 //!
 //! let mut proposal = Proposal::new(3);
 //! assert_eq!(proposal.step(Event::Read { head: 7, accepted: false }), Action::Write { head: 7 });
-//! // The answer is lost; the head is read again, and the identity is found in the log.
+//! // The response is lost; the head is read retry and the log contains the identity.
 //! assert_eq!(proposal.step(Event::Lost), Action::Read);
 //! assert_eq!(proposal.step(Event::Read { head: 8, accepted: true }), Action::Accepted);
 //! ```
 
-/// What happened.
+/// Result of the last action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The head was read, and the catalogue brought up to it.
+    /// The head was read and the catalogue updated to it.
     Read {
-        /// The key-value service's revision of the head.
+        /// Store revision of the head key.
         head: u64,
-        /// True where the request's identity is among what was accepted.
+        /// True if the request has already been accepted, by its identity.
         accepted: bool,
     },
     /// The write took effect.
     Written,
-    /// The head had moved; the write had no effect.
+    /// The head had changed; the write had no effect.
     Moved,
-    /// No answer came: the call may have had its effect, or may yet have it.
+    /// No response: the write may have taken effect, or may take effect later.
     Lost,
-    /// The service refused the call; it had no effect.
+    /// The key-value service refused the call, which had no effect.
     Refused,
-    /// The commands do not apply to the catalogue as it is now.
+    /// The commands are not valid for the current catalogue.
     Invalid,
 }
 
-/// What to do.
+/// Next action of the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Read the head, and bring the catalogue up to it.
+    /// Read the head and update the catalogue to it.
     Read,
-    /// Write, where the head is still at this revision of the key-value service.
+    /// Write if the head is unchanged.
     Write {
-        /// The revision compared.
+        /// Expected store revision of the head key.
         head: u64,
     },
     /// Final: accepted.
     Accepted,
-    /// Final: not accepted, and it never will be.
+    /// Final: not accepted, and cannot take effect later.
     Rejected,
-    /// Final: the service could not be reached, and nothing was written.
+    /// Final: the key-value service is unavailable; nothing was written.
     Unavailable,
-    /// Final: a write was sent, and whether it took effect can't be found out now.
+    /// Final: a write was written_head, and it is unknown whether it took effect.
     Unknown,
 }
 
-/// One request on its way into the key-value service.
+/// State of one request that is being written to the key-value service.
 #[derive(Debug, Clone, Copy)]
 pub struct Proposal {
-    tries_left: u32,
-    /// Head compared by a write whose answer was lost.
-    in_doubt: Option<u64>,
-    sent: Option<u64>,
+    attempts_left: u32,
+    /// Expected head of a write whose response was lost.
+    uncertain_head: Option<u64>,
+    written_head: Option<u64>,
 }
 
 impl Proposal {
-    /// Proposal that gives up after `tries` calls that brought no progress.
-    pub const fn new(tries: u32) -> Self {
+    /// Creates a proposal that ends after `max_attempts` unsuccessful calls.
+    pub const fn new(max_attempts: u32) -> Self {
         Self {
-            tries_left: tries,
-            in_doubt: None,
-            sent: None,
+            attempts_left: max_attempts,
+            uncertain_head: None,
+            written_head: None,
         }
     }
 
-    /// Takes an event; the first is a read.
+    /// Handles an event and returns the next action; the first event must be a read.
     pub const fn step(&mut self, event: Event) -> Action {
         match event {
             Event::Written => Action::Accepted,
@@ -85,39 +85,38 @@
                 head,
                 accepted: false,
             } => {
-                // A head that moved on without our identity shuts out every write compared
-                // with an earlier one.
-                if matches!(self.in_doubt, Some(doubted) if doubted != head) {
-                    self.in_doubt = None;
+                // The head has changed without this request, so earlier writes can no longer take
+                // effect.
+                if matches!(self.uncertain_head, Some(uncertain) if uncertain != head) {
+                    self.uncertain_head = None;
                 }
-                self.sent = Some(head);
+                self.written_head = Some(head);
                 Action::Write { head }
             }
             Event::Moved => {
-                // Only a copy of this write, or another's write, can have moved it; the read
-                // tells which.
-                self.again()
+                // The read shows whether a copy of this write or another write changed the head.
+                self.retry()
             }
             Event::Lost => {
-                if self.in_doubt.is_none() {
-                    self.in_doubt = self.sent;
+                if self.uncertain_head.is_none() {
+                    self.uncertain_head = self.written_head;
                 }
-                self.again()
+                self.retry()
             }
-            Event::Refused => self.again(),
-            Event::Invalid => match self.in_doubt {
+            Event::Refused => self.retry(),
+            Event::Invalid => match self.uncertain_head {
                 None => Action::Rejected,
                 Some(_) => Action::Unknown,
             },
         }
     }
 
-    const fn again(&mut self) -> Action {
-        self.tries_left = self.tries_left.saturating_sub(1);
-        if self.tries_left > 0 {
+    const fn retry(&mut self) -> Action {
+        self.attempts_left = self.attempts_left.saturating_sub(1);
+        if self.attempts_left > 0 {
             return Action::Read;
         }
-        match self.in_doubt {
+        match self.uncertain_head {
             None => Action::Unavailable,
             Some(_) => Action::Unknown,
         }
--- a/crates/gingerpier_catalogue/src/record.rs
+++ b/crates/gingerpier_catalogue/src/record.rs
@@ -1,4 +1,4 @@
-//! Accepted changes, as kept in the key-value service: the audit trail is the log itself.
+//! Log of accepted changes in the key-value service, which is also the audit trail.
 
 use {
     crate::{command::Command, key::Revision},
@@ -7,7 +7,7 @@
     std::fmt,
 };
 
-/// Identity of one operator's request, chosen by the asker and kept over retries.
+/// Identity of an operator's request, chosen by the client and equal in all retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(map)]
 pub struct Identity {
@@ -18,7 +18,7 @@
 }
 
 impl Identity {
-    /// Identity from a random number.
+    /// Creates an identity from a random number.
     pub const fn from_u128(value: u128) -> Self {
         Self {
             high: (value >> 64) as u64,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Identity from 32 hexadecimal digits.
+    /// Parses 32 hexadecimal digits.
     pub fn from_hex(text: &str) -> Option<Self> {
         (text.len() == 32).then(|| u128::from_str_radix(text, 16).ok().map(Self::from_u128))?
     }
@@ -38,35 +38,35 @@
     }
 }
 
-/// One operator's request: all of its commands take effect, or none.
+/// An operator's request; its commands are applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Entry {
-    /// Identity by which a repeat is recognised.
+    /// Identity that detects retries.
     #[n(0)]
     pub identity: Identity,
-    /// Who asked.
+    /// Operator, or planner.
     #[n(1)]
     pub author: String,
-    /// When, by the clock of the entry box that took it.
+    /// Time of the request, by the clock of the entry box that received it.
     #[n(2)]
     pub stamp: Stamp,
-    /// What was asked, as written.
+    /// Statement text.
     #[n(3)]
     pub text: String,
-    /// What was asked, as parsed.
+    /// Parsed commands.
     #[n(4)]
     pub commands: Vec<Command>,
 }
 
-/// The entries that one write to the key-value service accepted.
+/// Entries accepted by one write to the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Record {
-    /// Revision that the record makes.
+    /// Revision of the catalogue after the record.
     #[n(0)]
     pub revision: Revision,
-    /// Entries, in order.
+    /// Entries, in order of application.
     #[n(1)]
     pub entries: Vec<Entry>,
 }
--- a/crates/gingerpier_catalogue/src/state.rs
+++ b/crates/gingerpier_catalogue/src/state.rs
@@ -1,7 +1,7 @@
-//! The catalogue and the rules by which commands change it.
+//! The catalogue and its state transitions.
 //!
-//! Every rule is deterministic: it looks at the catalogue and the command, never at a clock, a
-//! random number or the process it runs in.
+//! Transitions are deterministic: they depend only on the catalogue and the command, so that all
+//! processes compute the same state.
 
 use {
     crate::{
@@ -16,7 +16,7 @@
     std::collections::{BTreeMap, VecDeque},
 };
 
-/// Identities of accepted requests that are remembered, so that a repeat is recognised.
+/// Number of recent accepted requests whose identities are kept to detect retries.
 pub const REMEMBERED: usize = 1_024;
 
 /// The configuration at one revision.
@@ -36,27 +36,27 @@
     #[n(5)]
     withdrawals: BTreeMap<Name, Withdrawal>,
     #[n(6)]
-    remembered: VecDeque<Acceptance>,
+    recent_acceptances: VecDeque<Acceptance>,
 }
 
-/// A request that was accepted.
+/// An accepted request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Acceptance {
     /// Identity of the request.
     #[n(0)]
     pub identity: Identity,
-    /// Revision that it made.
+    /// Revision at which the request was accepted.
     #[n(1)]
     pub revision: Revision,
 }
 
-/// Rollout steps where an operator gives none.
+/// Rollout steps in percent if an operator specifies none.
 const DEFAULT_STEPS: [u8; 1] = [100];
 
-/// Reading.
+/// Queries.
 impl Catalogue {
-    /// Revision in force.
+    /// Current revision.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
@@ -69,20 +69,20 @@
             .map(|(index, model)| (ModelKey(index as u32), model))
     }
 
-    /// Model of `key`.
+    /// Model with `key`.
     ///
     /// # Panics
     ///
-    /// Where `key` is not of this catalogue or an earlier revision of it.
+    /// Panics if `key` does not exist in this catalogue.
     pub fn model(&self, key: ModelKey) -> &Model {
         &self.models[key.0 as usize]
     }
 
-    /// Model called `name`.
+    /// Key of the model or adapter with `name`.
     ///
     /// # Errors
     ///
-    /// Where there is none.
+    /// Returns an error if there is no such model.
     pub fn model_named(&self, name: &Name) -> Result<ModelKey, Error> {
         let index = self.models.iter().position(|model| model.name == *name);
         let index = index.ok_or_else(|| Error::UnknownModel(name.clone()))?;
@@ -97,20 +97,20 @@
             .map(|(index, version)| (VersionKey(index as u32), version))
     }
 
-    /// Version of `key`.
+    /// Version with `key`.
     ///
     /// # Panics
     ///
-    /// Where `key` is not of this catalogue or an earlier revision of it.
+    /// Panics if `key` does not exist in this catalogue.
     pub fn version(&self, key: VersionKey) -> &Version {
         &self.versions[key.0 as usize]
     }
 
-    /// Version of `model` called `name`.
+    /// Key of the version of `model` with `name`.
     ///
     /// # Errors
     ///
-    /// Where the model has none of that name.
+    /// Returns an error if the model has no such version.
     pub fn version_named(&self, model: ModelKey, name: &Name) -> Result<VersionKey, Error> {
         let found = self
             .versions()
@@ -122,14 +122,14 @@
         found.map(|(key, _)| key).ok_or_else(unknown)
     }
 
-    /// Version whose manifest has `digest`.
+    /// Key of the version whose manifest has `digest`.
     pub fn version_of_digest(&self, digest: Digest) -> Option<VersionKey> {
         self.versions()
             .find(|(_, version)| version.manifest == digest)
             .map(|(key, _)| key)
     }
 
-    /// `model@version`, for people.
+    /// Display name, as `model@version`.
     pub fn label(&self, key: VersionKey) -> String {
         let version = self.version(key);
         format!("{}@{}", self.model(version.model).name, version.name)
@@ -140,7 +140,7 @@
         &self.accounts
     }
 
-    /// Account whose callers send a token of `digest`.
+    /// Account whose bearer token has `digest`.
     pub fn account_of_key(&self, digest: Digest) -> Option<&Account> {
         self.accounts.iter().find(|account| account.key == digest)
     }
@@ -150,7 +150,7 @@
         &self.assignments
     }
 
-    /// Operators' word on `server`.
+    /// Withdrawal of `server`, if any.
     pub fn withdrawal(&self, server: &Name) -> Option<Withdrawal> {
         self.withdrawals.get(server).copied()
     }
@@ -160,93 +160,94 @@
         &self.withdrawals
     }
 
-    /// Revision at which the request of `identity` was accepted, among the last [`REMEMBERED`].
+    /// Revision at which the request with `identity` was accepted, among the last [`REMEMBERED`].
     pub fn accepted(&self, identity: Identity) -> Option<Revision> {
         let found = self
-            .remembered
+            .recent_acceptances
             .iter()
             .rev()
-            .find(|accepted| accepted.identity == identity);
-        found.map(|accepted| accepted.revision)
+            .find(|acceptance| acceptance.identity == identity);
+        found.map(|acceptance| acceptance.revision)
     }
 
-    /// Versions of `model` that may take traffic.
+    /// Versions of `model` that may receive traffic: the live ones and the target of a rollout.
     pub fn open_versions(&self, model: ModelKey) -> impl Iterator<Item = VersionKey> {
         let model = self.model(model);
-        let rolled = model
+        let rollout = model
             .rollout
             .iter()
             .filter(|rollout| rollout.takes_traffic());
-        let to = rolled
+        let to = rollout
             .map(|rollout| rollout.to)
             .filter(|to| !model.live.contains(to));
         model.live.iter().copied().chain(to)
     }
 
-    /// Adapter versions that an engine holding base version `base` in `zone` is to hold too.
+    /// Adapter versions that engines with base version `base` in `zone` must load.
     pub fn adapters_on(&self, base: VersionKey, zone: &Name) -> Vec<VersionKey> {
         let base_model = self.version(base).model;
-        let served = |model: &&Model| {
+        let is_served = |model: &&Model| {
             model.base == Some(base_model)
                 && model
                     .contracts
                     .iter()
                     .any(|contract| contract.zone == *zone)
         };
-        let mut held = Vec::new();
-        for model in self.models.iter().filter(served) {
-            let rolled = model.rollout.iter().map(|rollout| rollout.to);
-            for version in model.live.iter().copied().chain(rolled) {
-                if self.version(version).base == Some(base) && !held.contains(&version) {
-                    held.push(version);
+        let mut adapters = Vec::new();
+        for model in self.models.iter().filter(is_served) {
+            let rollout_target = model.rollout.iter().map(|rollout| rollout.to);
+            for version in model.live.iter().copied().chain(rollout_target) {
+                if self.version(version).base == Some(base) && !adapters.contains(&version) {
+                    adapters.push(version);
                 }
             }
         }
-        held
+        adapters
     }
 
-    /// Assignments of the engines that are to hold a version: an adapter's are those of its base
-    /// in the zones where the adapter is served.
+    /// Assignments of the engines that must load `version`; for an adapter, the assignments of its
+    /// base version in the zones where the adapter is served.
     pub fn holders(&self, version: VersionKey) -> impl Iterator<Item = &Assignment> {
-        let held = self.version(version);
-        let base = held.base.unwrap_or(version);
-        let contracts = &self.model(held.model).contracts;
-        let anywhere = held.base.is_none();
+        let requested = self.version(version);
+        let base = requested.base.unwrap_or(version);
+        let contracts = &self.model(requested.model).contracts;
+        let is_base = requested.base.is_none();
         self.assignments.values().filter(move |assignment| {
-            let served = contracts
+            let is_served = contracts
                 .iter()
                 .any(|contract| contract.zone == assignment.zone);
-            assignment.version == base && (anywhere || served)
+            assignment.version == base && (is_base || is_served)
         })
     }
 
-    /// The catalogue as bytes: the snapshot kept in the key-value service and sent to peers.
+    /// Encodes a snapshot, which is stored in the key-value service and sent to peers.
     ///
     /// # Panics
     ///
-    /// Never: writing to memory can't fail.
+    /// Never: encoding into memory is infallible.
     pub fn to_snapshot(&self) -> Vec<u8> {
-        minicbor::to_vec(self).unwrap_or_else(|error| unreachable!("writing to memory: {error}"))
+        minicbor::to_vec(self)
+            .unwrap_or_else(|error| unreachable!("encoding a snapshot into memory: {error}"))
     }
 
-    /// Catalogue from the bytes of a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// Where the bytes are no snapshot.
+    /// Returns an error if the bytes are not a valid snapshot.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, Error> {
         minicbor::decode(bytes).map_err(|error| Error::Unreadable(error.to_string()))
     }
 }
 
-/// Changing.
+/// State transitions.
 impl Catalogue {
-    /// Applies the record that follows.
+    /// Applies the next record.
     ///
     /// # Errors
     ///
-    /// Where the record does not follow, or one of its commands is refused; the catalogue is
-    /// then as it was.
+    /// Returns an error if the record does not have the next revision or a command is invalid; the catalogue
+    /// is then unchanged.
     pub fn apply(&mut self, record: &Record) -> Result<(), Error> {
         if record.revision != self.revision.next() {
             return Err(Error::NotNext {
@@ -257,13 +258,13 @@
         let mut next = self.clone();
         next.revision = record.revision;
         for entry in &record.entries {
-            next.take(entry)?;
+            next.apply_entry(entry)?;
         }
         *self = next;
         Ok(())
     }
 
-    /// Takes a snapshot in place of what is held, where the snapshot is newer; true if taken.
+    /// Replaces the catalogue by a newer snapshot; returns true if it was replaced.
     pub fn advance_to(&mut self, snapshot: Self) -> bool {
         let newer = snapshot.revision > self.revision;
         if newer {
@@ -272,11 +273,11 @@
         newer
     }
 
-    /// Checks what `commands` would do at the revision that follows, without doing it.
+    /// Returns the catalogue after `commands` at the next revision, without changing this one.
     ///
     /// # Errors
     ///
-    /// Where one of them is refused.
+    /// Returns an error if a command is invalid.
     pub fn try_commands(&self, commands: &[Command]) -> Result<Self, Error> {
         let mut next = self.clone();
         next.revision = self.revision.next();
@@ -286,16 +287,16 @@
         Ok(next)
     }
 
-    fn take(&mut self, entry: &Entry) -> Result<(), Error> {
+    fn apply_entry(&mut self, entry: &Entry) -> Result<(), Error> {
         for command in &entry.commands {
             self.execute(command)?;
         }
-        self.remembered.push_back(Acceptance {
+        self.recent_acceptances.push_back(Acceptance {
             identity: entry.identity,
             revision: self.revision,
         });
-        if self.remembered.len() > REMEMBERED {
-            self.remembered.pop_front();
+        if self.recent_acceptances.len() > REMEMBERED {
+            self.recent_acceptances.pop_front();
         }
         Ok(())
     }
@@ -312,13 +313,13 @@
                 source,
                 base,
             } => {
-                let made = NewVersion {
+                let new_version = NewVersion {
                     name: version,
                     manifest: *manifest,
                     bytes: *bytes,
                     source,
                 };
-                self.create_version(model, made, base)
+                self.create_version(model, new_version, base)
             }
             Command::SetAccount {
                 account,
@@ -349,8 +350,8 @@
             Command::Pause { model } => self.set_paused(model, true),
             Command::Resume { model } => self.set_paused(model, false),
             Command::GoBack { model } => self.go_back(model),
-            Command::Drain { server } => self.withdraw(server, Withdrawal::Drain),
-            Command::Stop { server } => self.withdraw(server, Withdrawal::Stop),
+            Command::Drain { server } => self.set_withdrawal(server, Withdrawal::Drain),
+            Command::Stop { server } => self.set_withdrawal(server, Withdrawal::Stop),
             Command::Undrain { server } => self.undrain(server),
             Command::Assign {
                 engine,
@@ -419,12 +420,12 @@
     fn create_version(
         &mut self,
         model: &Name,
-        made: NewVersion<'_>,
+        new_version: NewVersion<'_>,
         base: &Option<Name>,
     ) -> Result<(), Error> {
         let key = self.model_named(model)?;
-        if self.version_named(key, made.name).is_ok() {
-            return Err(Error::Exists(made.name.clone()));
+        if self.version_named(key, new_version.name).is_ok() {
+            return Err(Error::Exists(new_version.name.clone()));
         }
         let base = match (self.model(key).base, base) {
             (None, None) => None,
@@ -434,10 +435,10 @@
         };
         self.versions.push(Version {
             model: key,
-            name: made.name.clone(),
-            manifest: made.manifest,
-            bytes: made.bytes,
-            source: made.source.to_owned(),
+            name: new_version.name.clone(),
+            manifest: new_version.manifest,
+            bytes: new_version.bytes,
+            source: new_version.source.to_owned(),
             base,
             deleted: false,
         });
@@ -448,9 +449,9 @@
         match self
             .accounts
             .iter_mut()
-            .find(|held| held.name == account.name)
+            .find(|existing| existing.name == account.name)
         {
-            Some(held) => *held = account,
+            Some(existing) => *existing = account,
             None => self.accounts.push(account),
         }
     }
@@ -464,7 +465,11 @@
     ) -> Result<(), Error> {
         let key = self.model_named(model)?;
         for account in accounts {
-            if !self.accounts.iter().any(|held| held.name == *account) {
+            if !self
+                .accounts
+                .iter()
+                .any(|existing| existing.name == *account)
+            {
                 return Err(Error::UnknownAccount(account.clone()));
             }
         }
@@ -497,15 +502,15 @@
         if !steps.is_sorted_by(|a, b| a < b) || steps[0] == 0 || steps.last() != Some(&100) {
             return Err(Error::Steps);
         }
-        let held = self.model(key);
-        if let Some(active) = held.rollout.as_ref().filter(|_| !replacing) {
+        let current = self.model(key);
+        if let Some(active) = current.rollout.as_ref().filter(|_| !replacing) {
             return Err(Error::RolloutActive {
                 model: model.clone(),
                 to: self.version(active.to).name.clone(),
                 since: active.since,
             });
         }
-        if held.live.contains(&to) && held.rollout.is_none() {
+        if current.live.contains(&to) && current.rollout.is_none() {
             return Err(Error::AlreadyLive {
                 model: model.clone(),
                 version: version.clone(),
@@ -535,32 +540,31 @@
         Ok(())
     }
 
-    /// With a rollout under way, the live version is rolled out again in one step; without one,
-    /// the version that was live before.
+    /// Rolls out the live version if a rollout is in progress, otherwise the previous version.
     fn go_back(&mut self, model: &Name) -> Result<(), Error> {
         let key = self.model_named(model)?;
-        let held = self.model(key);
-        let back_to = match &held.rollout {
-            Some(rollout) => self.live_beside(held, rollout.to),
-            None => held.previous,
+        let current = self.model(key);
+        let target = match &current.rollout {
+            Some(rollout) => self.live_with_same_base(current, rollout.to),
+            None => current.previous,
         };
-        let abandons = held.rollout.is_some();
+        let replaces_rollout = current.rollout.is_some();
         let since = self.revision;
-        let rollout = back_to.map(|to| Rollout {
+        let rollout = target.map(|to| Rollout {
             to,
             steps: DEFAULT_STEPS.to_vec(),
             reached: 0,
             paused: false,
             since,
         });
-        if rollout.is_none() && !abandons {
+        if rollout.is_none() && !replaces_rollout {
             return Err(Error::NoEarlier(model.clone()));
         }
         self.model_mut(key).rollout = rollout;
         Ok(())
     }
 
-    fn live_beside(&self, model: &Model, version: VersionKey) -> Option<VersionKey> {
+    fn live_with_same_base(&self, model: &Model, version: VersionKey) -> Option<VersionKey> {
         let base = self.version(version).base;
         model
             .live
@@ -569,9 +573,9 @@
             .find(|live| self.version(*live).base == base)
     }
 
-    fn withdraw(&mut self, server: &Name, withdrawal: Withdrawal) -> Result<(), Error> {
-        let held = self.withdrawals.get(server);
-        if held == Some(&Withdrawal::Stop) && withdrawal == Withdrawal::Drain {
+    fn set_withdrawal(&mut self, server: &Name, withdrawal: Withdrawal) -> Result<(), Error> {
+        let current = self.withdrawals.get(server);
+        if current == Some(&Withdrawal::Stop) && withdrawal == Withdrawal::Drain {
             return Err(Error::Stopping(server.clone()));
         }
         self.withdrawals.insert(server.clone(), withdrawal);
@@ -598,8 +602,8 @@
     }
 
     fn unassign(&mut self, engine: &Name) -> Result<(), Error> {
-        let removed = self.assignments.remove(engine);
-        removed
+        let assignment = self.assignments.remove(engine);
+        assignment
             .map(|_| ())
             .ok_or_else(|| Error::NotAssigned(engine.clone()))
     }
@@ -614,13 +618,13 @@
         }
         rollout.reached += 1;
         if rollout.reached as usize == rollout.steps.len() {
-            self.complete(key, to);
+            self.complete_rollout(key, to);
         }
         Ok(())
     }
 
-    fn complete(&mut self, key: ModelKey, to: VersionKey) {
-        let replaced = self.live_beside(self.model(key), to);
+    fn complete_rollout(&mut self, key: ModelKey, to: VersionKey) {
+        let replaced = self.live_with_same_base(self.model(key), to);
         let model = self.model_mut(key);
         model.rollout = None;
         if replaced == Some(to) {
@@ -634,46 +638,46 @@
     fn delete_version(&mut self, model: &Name, version: &Name) -> Result<(), Error> {
         let key = self.model_named(model)?;
         let version_key = self.version_named(key, version)?;
-        let held = self.model(key);
-        let rolled = held
+        let current = self.model(key);
+        let is_rolling_out = current
             .rollout
             .as_ref()
             .is_some_and(|rollout| rollout.to == version_key);
-        let assigned = self
+        let is_assigned = self
             .assignments
             .values()
-            .any(|held| held.version == version_key);
-        let based = self
+            .any(|assignment| assignment.version == version_key);
+        let is_base = self
             .versions()
             .any(|(_, other)| other.base == Some(version_key));
-        if held.live.contains(&version_key) || rolled || assigned || based {
+        if current.live.contains(&version_key) || is_rolling_out || is_assigned || is_base {
             return Err(Error::InUse(version.clone()));
         }
-        let held = self.model_mut(key);
-        held.previous = held.previous.filter(|previous| *previous != version_key);
+        let model = self.model_mut(key);
+        model.previous = model.previous.filter(|previous| *previous != version_key);
         self.versions[version_key.0 as usize].deleted = true;
         Ok(())
     }
 
     fn delete_account(&mut self, account: &Name) -> Result<(), Error> {
-        let named = |contract: &Contract| contract.accounts.contains(account);
+        let permits_account = |contract: &Contract| contract.accounts.contains(account);
         if self
             .models
             .iter()
-            .any(|model| model.contracts.iter().any(named))
+            .any(|model| model.contracts.iter().any(permits_account))
         {
             return Err(Error::InUse(account.clone()));
         }
-        let before = self.accounts.len();
-        self.accounts.retain(|held| held.name != *account);
-        if self.accounts.len() == before {
+        let previous_count = self.accounts.len();
+        self.accounts.retain(|existing| existing.name != *account);
+        if self.accounts.len() == previous_count {
             return Err(Error::UnknownAccount(account.clone()));
         }
         Ok(())
     }
 }
 
-/// What an operator says of a new version.
+/// Attributes of a version to create.
 struct NewVersion<'a> {
     name: &'a Name,
     manifest: Digest,
--- a/crates/gingerpier_catalogue/tests/rules.rs
+++ b/crates/gingerpier_catalogue/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The catalogue's rules, as commands meet them.
+//! State transitions of the catalogue.
 
 use {
     gingerpier_base::{Digest, Name, Stamp},
@@ -10,7 +10,7 @@
 };
 
 fn name(text: &str) -> Name {
-    text.parse().expect("a name")
+    text.parse().expect("valid name")
 }
 
 fn entry(identity: u128, commands: Vec<Command>) -> Entry {
@@ -71,7 +71,7 @@
     }
 }
 
-/// A model with three versions and an adapter on the first.
+/// Catalogue with a model of three versions and an adapter of the first.
 fn catalogue() -> Catalogue {
     let mut catalogue = Catalogue::default();
     apply(
@@ -94,7 +94,7 @@
             serve("a", "z1"),
         ],
     )
-    .expect("the commands are right");
+    .expect("valid commands");
     catalogue
 }
 
@@ -108,133 +108,138 @@
 }
 
 #[test]
-fn a_refused_command_changes_nothing_not_even_what_came_before_it() {
-    let mut held = catalogue();
-    let before = held.clone();
+fn refused_command_rolls_back_the_whole_request() {
+    let mut catalogue = catalogue();
+    let previous = catalogue.clone();
     let refused = apply(
-        &mut held,
+        &mut catalogue,
         vec![serve("m", "z9"), roll_out("m", "v9", false)],
     );
     assert!(matches!(refused, Err(Error::UnknownVersion { .. })));
-    assert_eq!(held, before);
+    assert_eq!(catalogue, previous);
 }
 
 #[test]
-fn a_version_takes_traffic_only_after_a_step_is_complete() {
-    let mut held = catalogue();
-    let model = held.model_named(&name("m")).expect("it exists");
-    let v1 = held.version_named(model, &name("v1")).expect("it exists");
-    apply(&mut held, vec![roll_out("m", "v1", false)]).expect("it starts");
-    assert_eq!(held.open_versions(model).count(), 0);
-    apply(&mut held, vec![advance("m", "v1", 0)]).expect("a step is complete");
-    assert_eq!(held.open_versions(model).collect::<Vec<_>>(), [v1]);
+fn version_receives_traffic_only_after_its_first_step() {
+    let mut catalogue = catalogue();
+    let model = catalogue.model_named(&name("m")).expect("name exists");
+    let v1 = catalogue
+        .version_named(model, &name("v1"))
+        .expect("name exists");
+    apply(&mut catalogue, vec![roll_out("m", "v1", false)]).expect("rollout starts");
+    assert_eq!(catalogue.open_versions(model).count(), 0);
+    apply(&mut catalogue, vec![advance("m", "v1", 0)]).expect("first step completes");
+    assert_eq!(catalogue.open_versions(model).collect::<Vec<_>>(), [v1]);
     assert_eq!(
-        apply(&mut held, vec![advance("m", "v1", 0)]),
+        apply(&mut catalogue, vec![advance("m", "v1", 0)]),
         Err(Error::StepMoved(name("m")))
     );
-    apply(&mut held, vec![advance("m", "v1", 1)]).expect("the last step is complete");
-    assert_eq!(held.model(model).live, [v1]);
+    apply(&mut catalogue, vec![advance("m", "v1", 1)]).expect("last step completes");
+    assert_eq!(catalogue.model(model).live, [v1]);
 }
 
 #[test]
-fn a_rollout_under_way_is_replaced_only_where_that_is_said() {
-    let mut held = catalogue();
-    apply(&mut held, vec![roll_out("m", "v1", false)]).expect("it starts");
-    let refused = apply(&mut held, vec![roll_out("m", "v2", false)]);
+fn rollout_in_progress_is_replaced_only_if_requested() {
+    let mut catalogue = catalogue();
+    apply(&mut catalogue, vec![roll_out("m", "v1", false)]).expect("rollout starts");
+    let refused = apply(&mut catalogue, vec![roll_out("m", "v2", false)]);
     assert!(matches!(refused, Err(Error::RolloutActive { .. })));
-    apply(&mut held, vec![roll_out("m", "v2", true)]).expect("it replaces");
+    apply(&mut catalogue, vec![roll_out("m", "v2", true)]).expect("rollout is replaced");
 }
 
 #[test]
-fn going_back_returns_to_what_was_live() {
-    let mut held = catalogue();
+fn go_back_restores_the_previous_live_version() {
+    let mut catalogue = catalogue();
     for to in ["v1", "v2"] {
         let steps = vec![
             roll_out("m", to, false),
             advance("m", to, 0),
             advance("m", to, 1),
         ];
-        apply(&mut held, steps).expect("it rolls out");
+        apply(&mut catalogue, steps).expect("rollout completes");
     }
-    apply(&mut held, vec![Command::GoBack { model: name("m") }]).expect("it goes back");
-    apply(&mut held, vec![advance("m", "v1", 0)]).expect("in one step");
-    let model = held.model_named(&name("m")).expect("it exists");
-    let live: Vec<String> = held
+    apply(&mut catalogue, vec![Command::GoBack { model: name("m") }]).expect("rollback starts");
+    apply(&mut catalogue, vec![advance("m", "v1", 0)]).expect("rollback completes in one step");
+    let model = catalogue.model_named(&name("m")).expect("name exists");
+    let live: Vec<String> = catalogue
         .model(model)
         .live
         .iter()
-        .map(|key| held.label(*key))
+        .map(|key| catalogue.label(*key))
         .collect();
     assert_eq!(live, ["m@v1"]);
 }
 
 #[test]
-fn an_adapter_is_held_where_its_base_is_and_it_is_served() {
-    let mut held = catalogue();
+fn adapter_is_loaded_only_with_its_base_and_in_served_zones() {
+    let mut catalogue = catalogue();
     let assigned = vec![
         assign("e1", "z1", "v1"),
         assign("e2", "z2", "v1"),
         assign("e3", "z1", "v2"),
     ];
-    apply(&mut held, assigned).expect("they are assigned");
-    let adapter = held.model_named(&name("a")).expect("it exists");
-    let a1 = held.version_named(adapter, &name("a1")).expect("it exists");
-    let holders: Vec<&str> = held.holders(a1).map(|held| held.server.as_str()).collect();
-    assert_eq!(holders, ["e1-box"]);
+    apply(&mut catalogue, assigned).expect("engines are assigned");
+    let adapter = catalogue.model_named(&name("a")).expect("name exists");
+    let a1 = catalogue
+        .version_named(adapter, &name("a1"))
+        .expect("name exists");
+    let servers: Vec<&str> = catalogue
+        .holders(a1)
+        .map(|assignment| assignment.server.as_str())
+        .collect();
+    assert_eq!(servers, ["e1-box"]);
 }
 
 #[test]
-fn a_snapshot_is_taken_only_where_it_is_newer() {
+fn only_newer_snapshot_replaces_the_catalogue() {
     let old = catalogue();
     let mut new = old.clone();
-    apply(&mut new, vec![serve("m", "z3")]).expect("it is right");
-    let mut held = new.clone();
-    assert!(!held.advance_to(old.clone()));
-    assert_eq!(held, new);
-    let read = Catalogue::from_snapshot(&new.to_snapshot()).expect("it can be read");
-    let mut behind = old;
-    assert!(behind.advance_to(read));
-    assert_eq!(behind, new);
+    apply(&mut new, vec![serve("m", "z3")]).expect("valid command");
+    let mut catalogue = new.clone();
+    assert!(!catalogue.advance_to(old.clone()));
+    assert_eq!(catalogue, new);
+    let decoded = Catalogue::from_snapshot(&new.to_snapshot()).expect("snapshot decodes");
+    let mut stale = old;
+    assert!(stale.advance_to(decoded));
+    assert_eq!(stale, new);
 }
 
 proptest! {
-    /// Records may come late, twice, out of order and beside snapshots: the revision only rises,
-    /// and equal revisions mean equal catalogues.
+    /// Guards against lost or mixed state if records and snapshots are delayed, duplicated or reordered.
     #[test]
-    fn revisions_only_rise_whatever_comes(arrivals in prop::collection::vec((0..8usize, any::<bool>()), 0..40)) {
+    fn revision_never_decreases_for_reordered_input(deliveries in prop::collection::vec((0..8usize, any::<bool>()), 0..40)) {
         let mut log = vec![Catalogue::default()];
         let mut records = Vec::new();
         for index in 0..8 {
             let mut next = log[index].clone();
             let model = Command::CreateModel { model: name(&format!("m{index}")), kind: name("lm") };
             let record = Record { revision: next.revision().next(), entries: vec![entry(index as u128, vec![model])] };
-            next.apply(&record).expect("it follows");
+            next.apply(&record).expect("record has the next revision");
             records.push(record);
             log.push(next);
         }
-        let mut held = Catalogue::default();
-        for (index, as_snapshot) in arrivals {
-            let before = held.revision();
+        let mut catalogue = Catalogue::default();
+        for (index, as_snapshot) in deliveries {
+            let previous = catalogue.revision();
             if as_snapshot {
-                held.advance_to(log[index + 1].clone());
+                catalogue.advance_to(log[index + 1].clone());
             } else {
-                let _ = held.apply(&records[index]);
+                let _ = catalogue.apply(&records[index]);
             }
-            prop_assert!(held.revision() >= before);
-            prop_assert_eq!(&held, &log[held.revision().0 as usize]);
+            prop_assert!(catalogue.revision() >= previous);
+            prop_assert_eq!(&catalogue, &log[catalogue.revision().0 as usize]);
         }
     }
 
-    /// The key-value service as the specification has it: a write takes effect where the head is
-    /// as compared, at once or late, and its answer may be lost. However that goes, a request
-    /// takes effect at most once, and what the proposal says of it is true.
+    /// Guards against a request that takes effect twice, or is reported wrongly, when writes are
+    /// delayed, refused or overtaken, or their responses are lost.
     #[test]
-    fn a_proposal_takes_effect_once_and_tells_the_truth(
+    fn proposal_takes_effect_at_most_once_and_reports_its_result(
         faults in prop::collection::vec(0..5u8, 1..24),
-        tries in 1..6u32,
+        max_attempts in 1..6u32,
     ) {
-        let mut store = Store { head: 1, effects: 0, late: Vec::new() };
-        let mut proposal = Proposal::new(tries);
+        let mut store = Store { head: 1, effects: 0, delayed: Vec::new() };
+        let mut proposal = Proposal::new(max_attempts);
         let mut action = Action::Read;
         let mut faults = faults.into_iter().chain(std::iter::repeat(0));
         loop {
@@ -250,67 +255,67 @@
             };
             action = proposal.step(event);
         }
-        let before_late = store.effects;
-        store.deliver_late();
+        let effects_before_delayed = store.effects;
+        store.deliver_delayed();
         prop_assert!(store.effects <= 1);
         match action {
-            Action::Accepted => prop_assert_eq!(before_late, 1),
+            Action::Accepted => prop_assert_eq!(effects_before_delayed, 1),
             Action::Rejected | Action::Unavailable => prop_assert_eq!(store.effects, 0),
             _ => {}
         }
     }
 }
 
-/// A key-value service with one key that matters.
+/// Simulated key-value service with one key.
 struct Store {
     head: u64,
     effects: u32,
-    /// Writes that were sent and have not arrived.
-    late: Vec<u64>,
+    /// Expected heads of delayed writes.
+    delayed: Vec<u64>,
 }
 
 impl Store {
-    fn write(&mut self, compared: u64, fault: u8) -> Event {
+    fn write(&mut self, expected_head: u64, fault: u8) -> Event {
         match fault {
             1 => Event::Refused,
-            // The write takes effect, and its answer is lost.
+            // The write takes effect and its response is lost.
             2 => {
-                self.arrive(compared);
+                self.execute_write(expected_head);
                 Event::Lost
             }
-            // The write is under way for longer than its answer is waited for.
+            // The write is delayed until after the response timeout.
             3 => {
-                self.late.push(compared);
+                self.delayed.push(expected_head);
                 Event::Lost
             }
-            // Another's write comes before it.
+            // Another write takes effect first.
             4 => {
                 self.head += 1;
                 Event::Moved
             }
-            _ if self.arrive(compared) => Event::Written,
+            _ if self.execute_write(expected_head) => Event::Written,
             _ => Event::Moved,
         }
     }
 
-    fn arrive(&mut self, compared: u64) -> bool {
-        let holds = compared == self.head;
-        if holds {
+    fn execute_write(&mut self, expected_head: u64) -> bool {
+        let matches = expected_head == self.head;
+        if matches {
             self.head += 1;
             self.effects += 1;
         }
-        holds
+        matches
     }
 
-    fn deliver_late(&mut self) {
-        for compared in std::mem::take(&mut self.late) {
-            self.arrive(compared);
+    fn deliver_delayed(&mut self) {
+        for expected_head in std::mem::take(&mut self.delayed) {
+            self.execute_write(expected_head);
         }
     }
 }
 
 #[test]
-fn a_lost_answer_with_nobody_to_ask_is_unknown() {
+fn lost_response_without_further_reads_is_unknown() {
     let mut proposal = Proposal::new(2);
     assert_eq!(
         proposal.step(Event::Read {
--- a/crates/gingerpier_wire/src/frame.rs
+++ b/crates/gingerpier_wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! What processes say to each other.
+//! Request and response frames between processes.
 
 use {
     gingerpier_base::{
@@ -15,219 +15,219 @@
     minicbor::{Decode, Encode},
 };
 
-/// The first frame of a stream.
+/// First frame of a stream, sent by the process that opened it.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub enum Request {
-    /// Who calls; the answer says who answers.
+    /// Exchanges the identities of both processes.
     #[n(0)]
     Hello(#[n(0)] Hello),
-    /// Run a request at an engine or plain service; its body follows.
+    /// Runs a request at an engine or plain service; the request body follows.
     #[n(1)]
     Attempt(#[n(0)] Attempt),
-    /// Shut out an attempt, and end it if it runs.
+    /// Prevents an attempt from starting, and cancels it if it runs.
     #[n(2)]
     Revoke {
-        /// Attempt to shut out.
+        /// Attempt to revoke.
         #[n(0)]
         key: AttemptKey,
-        /// Run of the backend process that it was sent to.
+        /// Incarnation of the backend process that the attempt was sent to.
         #[n(1)]
         addressed: Incarnation,
     },
-    /// Report state from now on, at once when it changes.
+    /// Subscribes to the state of a backend server, which is sent on every change.
     #[n(3)]
     Follow {
-        /// Run of the entry box process that asks.
+        /// Incarnation of the entry box process that sends the request.
         #[n(0)]
         entry: Incarnation,
     },
-    /// What the asker knows of configuration and boxes.
+    /// Sends configuration and boxes that the sender knows.
     #[n(4)]
     Inform(#[n(0)] Inform),
-    /// A chunk of weights from byte `offset` on.
+    /// Fetches a chunk of weights, starting at byte `offset`.
     #[n(5)]
     Chunk {
-        /// Manifest of the version.
+        /// Digest of the version's manifest.
         #[n(0)]
         version: Digest,
         /// Index of the chunk.
         #[n(1)]
         index: u32,
-        /// First byte wanted.
+        /// First byte, for resuming a transfer.
         #[n(2)]
         offset: u32,
-        /// Wait for it, where it is not held yet.
+        /// True to wait if the receiver does not have it yet.
         #[n(3)]
         wait: bool,
     },
-    /// The manifest of a version; its bytes follow the answer.
+    /// Fetches the manifest of a version; its bytes follow the response.
     #[n(6)]
     ManifestOf {
         /// Digest of the manifest.
         #[n(0)]
         version: Digest,
-        /// Wait for it, where it is not held yet.
+        /// True to wait if the receiver does not have it yet.
         #[n(1)]
         wait: bool,
     },
-    /// The right to run the request of a ticket that the answerer issued.
+    /// Claims the right to run the request of a ticket that the receiver issued.
     #[n(7)]
     Claim {
-        /// Its ticket.
+        /// Ticket of the request.
         #[n(0)]
         ticket: Ticket,
-        /// Run of the entry box process that asks.
+        /// Incarnation of the entry box process that sends the request.
         #[n(1)]
         holder: Incarnation,
     },
-    /// What became of a grant.
+    /// Reports the result of a granted claim.
     #[n(8)]
     Settle {
-        /// Its ticket.
+        /// Ticket of the request.
         #[n(0)]
         ticket: Ticket,
-        /// The grant.
+        /// Number of the grant.
         #[n(1)]
         grant: u32,
-        /// What became of it.
+        /// Result of the granted run.
         #[n(2)]
         settlement: Settlement,
     },
-    /// Records after a revision, or a snapshot where they are no longer held.
+    /// Fetches the records after a revision, or a snapshot if they are no longer available.
     #[n(9)]
     Sync {
-        /// Revision in force at the asker.
+        /// Current revision of the sender.
         #[n(0)]
         revision: Revision,
     },
 }
 
-/// An answer's frame.
+/// Response frame.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 #[cbor(map)]
 pub enum Reply {
-    /// Who answers.
+    /// Identity of the responding process.
     #[n(0)]
     Hello(#[n(0)] Hello),
-    /// The attempt did not start, and will not.
+    /// The attempt did not start and will not start later.
     #[n(1)]
     Refused {
-        /// Why.
+        /// Reason.
         #[n(0)]
         refusal: Refusal,
-        /// Requests at the engine that are not the asker's.
+        /// Requests at the engine from other senders.
         #[n(1)]
         others: Option<u32>,
     },
-    /// A second copy of an attempt that started; this stream carries no answer.
+    /// The attempt has already started on another stream, which carries its response.
     #[n(2)]
     Duplicate,
-    /// The answer begins.
+    /// Head of the engine's response.
     #[n(3)]
     Head(#[n(0)] Head),
-    /// A part of the answer; that many bytes follow.
+    /// Part of the response body; its bytes follow.
     #[n(4)]
     Body {
-        /// Bytes that follow.
+        /// Number of bytes that follow.
         #[n(0)]
         length: u32,
     },
-    /// The answer is whole.
+    /// End of a complete response.
     #[n(5)]
     End {
-        /// Bytes of all parts.
+        /// Total size of the response body, in bytes.
         #[n(0)]
         bytes: u64,
-        /// Requests at the engine that are not the asker's.
+        /// Requests at the engine from other senders.
         #[n(1)]
         others: Option<u32>,
     },
-    /// The answer broke off.
+    /// The response was interrupted.
     #[n(6)]
     Broken {
-        /// What happened, for logs.
+        /// Cause, for logs.
         #[n(0)]
         why: String,
     },
-    /// Answer to a revocation.
+    /// Result of a revocation.
     #[n(7)]
     Revoked(#[n(0)] Revocation),
     /// State of a backend server.
     #[n(8)]
     Status(#[n(0)] Status),
-    /// Revision in force at the answerer.
+    /// Acknowledges configuration and boxes.
     #[n(9)]
     Informed {
-        /// Its revision.
+        /// Current revision of the responder.
         #[n(0)]
         revision: Revision,
     },
-    /// That many bytes of a chunk follow.
+    /// Part of a chunk; its bytes follow.
     #[n(10)]
     Chunk {
-        /// Bytes that follow.
+        /// Number of bytes that follow.
         #[n(0)]
         length: u32,
     },
-    /// Not held yet; the answerer is waiting for it itself.
+    /// Not available yet; the responder is fetching it. Sent repeatedly while waiting.
     #[n(11)]
     Pending,
-    /// Not held, and not to be had here.
+    /// Not available, and the responder is not fetching it.
     #[n(12)]
     NotHeld,
-    /// Answer to a claim.
+    /// Result of a claim.
     #[n(13)]
     Claimed(#[n(0)] Verdict),
-    /// What the answerer knows of configuration and boxes.
+    /// Configuration and boxes that the responder knows.
     #[n(14)]
     News(#[n(0)] Inform),
 }
 
-/// Who a process is.
+/// Identity and location of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Hello {
-    /// Its box.
+    /// Name of the box.
     #[n(0)]
     pub name: Name,
-    /// What it does.
+    /// Role of the process.
     #[n(1)]
     pub role: Role,
-    /// Where it is.
+    /// Region and availability zone.
     #[n(2)]
     pub zone: Zone,
-    /// Its run.
+    /// Incarnation of the process.
     #[n(3)]
     pub incarnation: Incarnation,
-    /// Its address for other processes.
+    /// Address for links from other processes.
     #[n(4)]
     pub address: String,
-    /// True once it leaves.
+    /// True if the process is leaving.
     #[n(5)]
     pub leaving: bool,
 }
 
-/// A request on its way to an engine or plain service.
+/// An attempt to run a request at an engine or plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Attempt {
-    /// Attempt.
+    /// Key that identifies the attempt.
     #[n(0)]
     pub key: AttemptKey,
-    /// Run of the backend process that it is meant for.
+    /// Incarnation of the backend process that the attempt is addressed to.
     #[n(1)]
     pub addressed: Incarnation,
     /// Identifier of the request, for logs.
     #[n(2)]
     pub request: String,
-    /// Engine or plain service.
+    /// Name of the engine or plain service.
     #[n(3)]
     pub engine: Name,
-    /// Manifest that must answer; none for a plain service.
+    /// Digest of the manifest that the engine must serve; none for a plain service.
     #[n(4)]
     pub weights: Option<Digest>,
-    /// Adapter's manifest that must answer.
+    /// Digest of the adapter's manifest that the engine must serve.
     #[n(5)]
     pub adapter: Option<Digest>,
     /// HTTP method.
@@ -239,25 +239,25 @@
     /// HTTP content type.
     #[n(8)]
     pub content_type: Option<String>,
-    /// Milliseconds that are left to the request.
+    /// Time until the deadline of the request, in milliseconds.
     #[n(9)]
     pub millis_left: u64,
-    /// Bytes of the body that follow.
+    /// Size of the request body that follows, in bytes.
     #[n(10)]
     pub body_length: u32,
-    /// Priority of the client account; 0 is served first.
+    /// Priority of the client account; 0 is the highest.
     #[n(11)]
     pub priority: u8,
-    /// Parts of the answer that the caller has already.
+    /// Number of response events that the caller has already received.
     #[n(12)]
     pub resume_after: Option<u64>,
-    /// Refuse it where the engine could not run it at once.
+    /// True to refuse the attempt if the engine cannot run it immediately.
     #[n(13)]
     #[cbor(default)]
     pub at_once: bool,
 }
 
-/// First part of an answer.
+/// Head of a response.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Head {
@@ -267,54 +267,53 @@
     /// HTTP content type.
     #[n(1)]
     pub content_type: Option<String>,
-    /// Manifest that answers, by the engine's own word.
+    /// Digest of the manifest that served the request, as reported by the engine.
     #[n(2)]
     pub weights: Option<Digest>,
 }
 
-/// What a process knows of configuration and boxes.
+/// Configuration and boxes known to a process.
 #[derive(Debug, Clone, PartialEq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct Inform {
-    /// Revision that the rest leads to.
+    /// Revision after the records or snapshot are applied.
     #[n(0)]
     pub revision: Revision,
-    /// Records that follow the asker's revision.
+    /// Records after the receiver's revision.
     #[n(1)]
     pub records: Vec<Record>,
-    /// A snapshot, where the records are not enough.
+    /// Encoded snapshot, if the records are not available.
     #[n(2)]
     #[cbor(with = "minicbor::bytes")]
     pub snapshot: Option<Vec<u8>>,
-    /// Backend servers, as the box list and links show them.
+    /// Backend servers, by the box list and by links.
     #[n(3)]
     pub boxes: Vec<Peer>,
-    /// Revision that the key-value service itself confirmed to the asker, under its present link
-    /// to it.
+    /// Revision that the key-value service confirmed to the sender since its last connection.
     #[n(4)]
     pub confirmed: Option<Revision>,
 }
 
-/// A box, as another process sees it.
+/// A box, as observed by another process.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the box.
     #[n(0)]
     pub name: Name,
-    /// What its process does.
+    /// Role of its process.
     #[n(1)]
     pub role: Role,
-    /// Where it is.
+    /// Region and availability zone.
     #[n(2)]
     pub zone: Zone,
-    /// Address of its process.
+    /// Address of its process for links.
     #[n(3)]
     pub address: String,
-    /// Listing, and a leaving that was heard of.
+    /// Entry in the box list, including a known departure.
     #[n(4)]
     pub listing: Listing,
-    /// Run of the process, where known.
+    /// Incarnation of the process, if known.
     #[n(5)]
     pub incarnation: Option<Incarnation>,
 }
@@ -323,47 +322,47 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Encode, Decode)]
 #[cbor(map)]
 pub struct Status {
-    /// Revision in force there.
+    /// Current revision of the backend server.
     #[n(0)]
     pub revision: Revision,
-    /// True once it leaves.
+    /// True if the process is leaving.
     #[n(1)]
     pub leaving: bool,
-    /// Its engines and plain services.
+    /// Engines and plain services of the server.
     #[n(2)]
     pub engines: Vec<EngineStatus>,
-    /// Bytes of chunks held.
+    /// Size of the cached chunks, in bytes.
     #[n(3)]
     pub chunk_bytes: u64,
-    /// True once the key-value service has confirmed its revision through an entry box.
+    /// True if the key-value service has confirmed the revision, through an entry box.
     #[n(4)]
     #[cbor(default)]
     pub confirmed: bool,
 }
 
-/// What an engine is about.
+/// Lifecycle phase of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Phase {
-    /// Holds no weights.
+    /// No weights are loaded.
     #[n(0)]
     Empty,
-    /// Weights are on their way.
+    /// Weights are being transferred.
     #[n(1)]
     Loading,
-    /// Holds what it was ordered to hold, complete.
+    /// The assigned weights are loaded.
     #[n(2)]
     Ready,
-    /// Takes no new work; what runs goes on.
+    /// New requests are refused; running requests complete.
     #[n(3)]
     Draining,
-    /// Does not answer.
+    /// The engine does not respond.
     #[n(4)]
     Down,
 }
 
 impl Phase {
-    /// Word used in tables and logs.
+    /// Name in tables and logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Empty => "empty",
@@ -379,43 +378,43 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(map)]
 pub struct EngineStatus {
-    /// Its name.
+    /// Name of the engine or plain service.
     #[n(0)]
     pub name: Name,
-    /// Kind of models, or name of the plain service.
+    /// Kind of models that the engine runs, or name of the plain service.
     #[n(1)]
     pub kind: Name,
     /// True for a plain service.
     #[n(2)]
     pub plain: bool,
-    /// What it is about.
+    /// Lifecycle phase.
     #[n(3)]
     pub phase: Phase,
-    /// Manifest that it reports whole.
+    /// Digest of the manifest that the engine reports as loaded.
     #[n(4)]
     pub weights: Option<Digest>,
-    /// Adapters' manifests that it reports whole.
+    /// Digests of the adapters' manifests that the engine reports as loaded.
     #[n(5)]
     pub adapters: Vec<Digest>,
-    /// Requests at the engine that are not the asker's.
+    /// Requests at the engine from other senders.
     #[n(6)]
     pub others: u32,
-    /// Requests that it takes at once.
+    /// Maximum number of concurrent requests.
     #[n(7)]
     pub capacity: u32,
-    /// Chunks held of those that it is to be given.
+    /// Number of cached chunks of the assigned weights.
     #[n(8)]
     pub chunks_held: u32,
-    /// Chunks that it is to be given.
+    /// Number of chunks of the assigned weights.
     #[n(9)]
     pub chunks_wanted: u32,
-    /// Bytes taken from the origin for it.
+    /// Bytes received from the origin for the engine.
     #[n(10)]
     pub origin_bytes: u64,
-    /// Bytes taken from peers for it.
+    /// Bytes received from peers for the engine.
     #[n(11)]
     pub peer_bytes: u64,
-    /// Why it is not loaded, where something is in the way.
+    /// Reason why the weights cannot be loaded, if any.
     #[n(12)]
     pub trouble: Option<String>,
 }
--- a/crates/gingerpier_wire/tests/rolling.rs
+++ b/crates/gingerpier_wire/tests/rolling.rs
@@ -1,4 +1,4 @@
-//! Old and new processes understand each other while boxes are replaced.
+//! Compatibility of frames between processes of different versions during a rolling upgrade.
 
 use {
     gingerpier_base::place::{Incarnation, Role, Zone},
@@ -10,7 +10,7 @@
     proptest::prelude::*,
 };
 
-/// A status as an older process writes it: without the field `confirmed`.
+/// `Status` as written by an older process, without the field `confirmed`.
 #[derive(Encode, Decode)]
 #[cbor(map)]
 struct OlderStatus {
@@ -24,10 +24,10 @@
     chunk_bytes: u64,
 }
 
-/// A greeting as a later process may write it: with fields that are not known here.
+/// `Hello` as written by a newer process, with an unknown field.
 #[derive(Encode)]
 #[cbor(map)]
-struct LaterHello {
+struct NewerHello {
     #[n(0)]
     name: &'static str,
     #[n(1)]
@@ -41,50 +41,50 @@
     #[n(5)]
     leaving: bool,
     #[n(99)]
-    unheard_of: Vec<String>,
+    unknown: Vec<String>,
 }
 
 #[test]
-fn a_field_that_an_older_process_does_not_write_has_its_default() {
+fn missing_field_of_older_process_gets_its_default() {
     let older = OlderStatus {
         revision: 7,
         leaving: false,
         engines: Vec::new(),
         chunk_bytes: 1,
     };
-    let bytes = minicbor::to_vec(older).expect("it is written");
-    let read: Status = codec::decode(&bytes).expect("it is read");
-    assert_eq!((read.revision.0, read.confirmed), (7, false));
+    let bytes = minicbor::to_vec(older).expect("frame encodes");
+    let decoded: Status = codec::decode(&bytes).expect("frame decodes");
+    assert_eq!((decoded.revision.0, decoded.confirmed), (7, false));
 }
 
 #[test]
-fn a_field_that_a_later_process_writes_is_passed_over() {
+fn unknown_field_of_newer_process_is_ignored() {
     let zone = Zone {
-        region: "r".parse().expect("a name"),
-        name: "z".parse().expect("a name"),
+        region: "r".parse().expect("valid name"),
+        name: "z".parse().expect("valid name"),
     };
-    let later = LaterHello {
+    let newer = NewerHello {
         name: "b1",
         role: Role::Backend,
         zone,
         incarnation: Incarnation(1),
         address: "127.0.0.1:1",
         leaving: false,
-        unheard_of: vec!["x".to_owned()],
+        unknown: vec!["x".to_owned()],
     };
-    let bytes = minicbor::to_vec(later).expect("it is written");
-    let read: Hello = codec::decode(&bytes).expect("it is read");
-    assert_eq!(read.name.as_str(), "b1");
+    let bytes = minicbor::to_vec(newer).expect("frame encodes");
+    let decoded: Hello = codec::decode(&bytes).expect("frame decodes");
+    assert_eq!(decoded.name.as_str(), "b1");
 }
 
 #[test]
-fn a_frame_that_is_too_long_is_refused_by_its_length_alone() {
+fn oversized_frame_is_refused_by_its_length_prefix() {
     assert!(codec::length(u32::MAX.to_be_bytes()).is_err());
 }
 
 proptest! {
     #[test]
-    fn no_bytes_upset_the_reader(bytes in prop::collection::vec(any::<u8>(), 0..512)) {
+    fn decoding_arbitrary_bytes_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..512)) {
         let _ = codec::decode::<Request>(&bytes);
         let _ = codec::decode::<Reply>(&bytes);
     }
