--- a/crates/gingerpier_link/src/authority.rs
+++ b/crates/gingerpier_link/src/authority.rs
@@ -1,4 +1,4 @@
-//! The deployment's own certificate authority: one step makes all keys.
+//! Certificate authority of the deployment, which issues the keys of all processes.
 
 use {
     crate::{
@@ -14,32 +14,32 @@
     },
 };
 
-/// File of the authority's certificate, in every folder of keys.
+/// File name of the authority's certificate, in every key folder.
 pub const CA_FILE: &str = "ca.pem";
-/// File of the authority's private key, in its own folder only.
+/// File name of the authority's private key, in its own folder only.
 pub const CA_KEY_FILE: &str = "ca.key.pem";
-/// File of a process's certificate.
+/// File name of a process's certificate.
 pub const CERTIFICATE_FILE: &str = "cert.pem";
-/// File of a process's private key.
+/// File name of a process's private key.
 pub const KEY_FILE: &str = "key.pem";
 
-/// A certificate authority in a folder.
+/// Certificate authority whose certificate and key are files in a folder.
 pub struct Authority {
     certificate: String,
     issuer: Issuer<'static, KeyPair>,
 }
 
-fn error(step: Step, path: &Path) -> impl Fn(String) -> Error {
-    move |what| Error::new(step, path.display(), what)
+fn error_at(step: Step, path: &Path) -> impl Fn(String) -> Error {
+    move |cause| Error::new(step, path.display(), cause)
 }
 
 fn write(path: &Path, text: &str) -> Result<(), Error> {
-    fs::write(path, text).map_err(|what| error(Step::WriteKeys, path)(what.to_string()))
+    fs::write(path, text).map_err(|cause| error_at(Step::WriteKeys, path)(cause.to_string()))
 }
 
-/// Writes a private key, which only its owner may read.
+/// Writes a private key that only its owner can read.
 fn write_key(path: &Path, key: &KeyPair) -> Result<(), Error> {
-    let written = (|| {
+    let result = (|| {
         let options = File::options()
             .write(true)
             .create(true)
@@ -50,28 +50,29 @@
         file.set_permissions(Permissions::from_mode(0o600))?;
         file.write_all(key.serialize_pem().as_bytes())
     })();
-    written.map_err(|what: io::Error| error(Step::WriteKeys, path)(what.to_string()))
+    result.map_err(|cause: io::Error| error_at(Step::WriteKeys, path)(cause.to_string()))
 }
 
 fn read(path: &Path) -> Result<String, Error> {
-    fs::read_to_string(path).map_err(|what| error(Step::ReadKeys, path)(what.to_string()))
+    fs::read_to_string(path).map_err(|cause| error_at(Step::ReadKeys, path)(cause.to_string()))
 }
 
 impl Authority {
-    /// Opens the authority in `folder`, or makes a new one there.
+    /// Opens the authority in `folder`, or creates one there.
     ///
     /// # Errors
     ///
-    /// Where the folder can't be read or written, or holds something else.
+    /// Returns an error if the folder cannot be read or written, or its files are invalid.
     pub fn open_or_create(folder: &Path) -> Result<Self, Error> {
         let key_path = folder.join(CA_KEY_FILE);
         if !key_path.exists() {
             Self::create(folder)?;
         }
         let certificate = read(&folder.join(CA_FILE))?;
-        let wrong = error(Step::ReadKeys, &key_path);
-        let key = KeyPair::from_pem(&read(&key_path)?).map_err(|what| wrong(what.to_string()))?;
-        // The issuer needs the authority's name and key; both are fixed by how it was made.
+        let to_error = error_at(Step::ReadKeys, &key_path);
+        let key =
+            KeyPair::from_pem(&read(&key_path)?).map_err(|cause| to_error(cause.to_string()))?;
+        // The issuer needs the name and key of the authority; the name is constant.
         let issuer = Issuer::new(parameters(), key);
         Ok(Self {
             certificate,
@@ -80,34 +81,34 @@
     }
 
     fn create(folder: &Path) -> Result<(), Error> {
-        let wrong = error(Step::WriteKeys, folder);
-        fs::create_dir_all(folder).map_err(|what| wrong(what.to_string()))?;
-        let key = KeyPair::generate().map_err(|what| wrong(what.to_string()))?;
-        let made = parameters()
+        let to_error = error_at(Step::WriteKeys, folder);
+        fs::create_dir_all(folder).map_err(|cause| to_error(cause.to_string()))?;
+        let key = KeyPair::generate().map_err(|cause| to_error(cause.to_string()))?;
+        let certificate = parameters()
             .self_signed(&key)
-            .map_err(|what| wrong(what.to_string()))?;
-        write(&folder.join(CA_FILE), &made.pem())?;
+            .map_err(|cause| to_error(cause.to_string()))?;
+        write(&folder.join(CA_FILE), &certificate.pem())?;
         write_key(&folder.join(CA_KEY_FILE), &key)
     }
 
-    /// Writes a certificate and key for `identity` into `folder`.
+    /// Issues a certificate for `identity` and writes it, with its key, into `folder`.
     ///
     /// # Errors
     ///
-    /// Where the folder can't be written.
+    /// Returns an error if the folder cannot be written.
     pub fn issue(&self, identity: &Identity, folder: &Path) -> Result<(), Error> {
-        let wrong = error(Step::WriteKeys, folder);
-        fs::create_dir_all(folder).map_err(|what| wrong(what.to_string()))?;
-        let key = KeyPair::generate().map_err(|what| wrong(what.to_string()))?;
+        let to_error = error_at(Step::WriteKeys, folder);
+        fs::create_dir_all(folder).map_err(|cause| to_error(cause.to_string()))?;
+        let key = KeyPair::generate().map_err(|cause| to_error(cause.to_string()))?;
         let mut parameters = CertificateParams::new(vec![identity.server_name()])
-            .map_err(|what| wrong(what.to_string()))?;
+            .map_err(|cause| to_error(cause.to_string()))?;
         parameters
             .distinguished_name
             .push(DnType::CommonName, identity.to_string());
-        let signed = parameters.signed_by(&key, &self.issuer);
-        let signed = signed.map_err(|what| wrong(what.to_string()))?;
+        let certificate = parameters.signed_by(&key, &self.issuer);
+        let certificate = certificate.map_err(|cause| to_error(cause.to_string()))?;
         write(&folder.join(CA_FILE), &self.certificate)?;
-        write(&folder.join(CERTIFICATE_FILE), &signed.pem())?;
+        write(&folder.join(CERTIFICATE_FILE), &certificate.pem())?;
         write_key(&folder.join(KEY_FILE), &key)
     }
 }
--- a/crates/gingerpier_link/src/credentials.rs
+++ b/crates/gingerpier_link/src/credentials.rs
@@ -1,4 +1,4 @@
-//! A process's keys, and what TLS needs made of them.
+//! Certificate and key of a process, and the TLS configurations that use them.
 
 use {
     crate::{
@@ -16,21 +16,21 @@
     },
 };
 
-/// Protocol name of the links between processes.
+/// ALPN protocol name of links between processes.
 const PEER_PROTOCOL: &[u8] = b"gingerpier/1";
 
-/// Certificate, key and authorities read from a folder.
+/// Certificate, key and trusted authorities, read from a folder.
 #[derive(Debug)]
 pub struct Credentials {
     folder: PathBuf,
-    changed: SystemTime,
+    modified_at: SystemTime,
     identity: Identity,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
     roots: Arc<RootCertStore>,
 }
 
-fn newest(folder: &Path) -> SystemTime {
+fn last_modified(folder: &Path) -> SystemTime {
     let files = [CA_FILE, CERTIFICATE_FILE, KEY_FILE];
     let times = files
         .iter()
@@ -39,39 +39,38 @@
 }
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, Error> {
-    let wrong = |what: String| Error::new(Step::ReadKeys, path.display(), what);
-    let read = CertificateDer::pem_file_iter(path).map_err(|what| wrong(what.to_string()))?;
+    let to_error = |cause: String| Error::new(Step::ReadKeys, path.display(), cause);
+    let read = CertificateDer::pem_file_iter(path).map_err(|cause| to_error(cause.to_string()))?;
     read.collect::<Result<_, _>>()
-        .map_err(|what| wrong(what.to_string()))
+        .map_err(|cause| to_error(cause.to_string()))
 }
 
 impl Credentials {
-    /// Reads the keys in `folder`; `ca.pem` may hold several authorities while one replaces
-    /// another.
+    /// Reads the keys in `folder`; `ca.pem` may contain several authorities during a rotation.
     ///
     /// # Errors
     ///
-    /// Where a file is missing or wrong.
+    /// Returns an error if a file is missing or invalid.
     pub fn read(folder: &Path) -> Result<Self, Error> {
-        let changed = newest(folder);
+        let modified_at = last_modified(folder);
         let chain = certificates(&folder.join(CERTIFICATE_FILE))?;
-        let wrong = |what: String| Error::new(Step::ReadKeys, folder.display(), what);
-        let own = chain
+        let to_error = |cause: String| Error::new(Step::ReadKeys, folder.display(), cause);
+        let own_certificate = chain
             .first()
-            .ok_or_else(|| wrong("cert.pem holds no certificate".to_owned()))?;
-        let identity = Identity::from_certificate(own)?;
+            .ok_or_else(|| to_error("cert.pem contains no certificate".to_owned()))?;
+        let identity = Identity::from_certificate(own_certificate)?;
         let key = PrivateKeyDer::from_pem_file(folder.join(KEY_FILE));
-        let key = key.map_err(|what| wrong(what.to_string()))?;
+        let key = key.map_err(|cause| to_error(cause.to_string()))?;
         let mut roots = RootCertStore::empty();
         for authority in certificates(&folder.join(CA_FILE))? {
             roots
                 .add(authority)
-                .map_err(|what| wrong(what.to_string()))?;
+                .map_err(|cause| to_error(cause.to_string()))?;
         }
         let roots = Arc::new(roots);
         Ok(Self {
             folder: folder.to_owned(),
-            changed,
+            modified_at,
             identity,
             chain,
             key,
@@ -79,67 +78,69 @@
         })
     }
 
-    /// Reads the keys again where a file has changed.
+    /// Reads the keys again if a file has modified_at since.
     ///
     /// # Errors
     ///
-    /// Where the new files are missing or wrong; the old keys stay good.
+    /// Returns an error if a new file is missing or invalid; the old keys remain usable.
     pub fn read_if_changed(&self) -> Result<Option<Self>, Error> {
-        if newest(&self.folder) == self.changed {
+        if last_modified(&self.folder) == self.modified_at {
             return Ok(None);
         }
         Self::read(&self.folder).map(Some)
     }
 
-    /// Whom the certificate is for.
+    /// Identity in the certificate.
     pub const fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// TLS of a server that lets in only holders of certificates of the deployment.
+    /// TLS configuration of a server that requires a client certificate of the deployment.
     ///
     /// # Errors
     ///
-    /// Where the keys do not fit together.
+    /// Returns an error if the certificate and the key do not match.
     pub fn server(&self) -> Result<rustls::ServerConfig, Error> {
-        let wrong = |what: String| Error::new(Step::ReadKeys, self.folder.display(), what);
+        let to_error = |cause: String| Error::new(Step::ReadKeys, self.folder.display(), cause);
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let verifier =
             WebPkiClientVerifier::builder_with_provider(self.roots.clone(), provider.clone());
-        let verifier = verifier.build().map_err(|what| wrong(what.to_string()))?;
+        let verifier = verifier
+            .build()
+            .map_err(|cause| to_error(cause.to_string()))?;
         rustls::ServerConfig::builder_with_provider(provider)
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(|what| wrong(what.to_string()))?
+            .map_err(|cause| to_error(cause.to_string()))?
             .with_client_cert_verifier(verifier)
             .with_single_cert(self.chain.clone(), self.key.clone_key())
-            .map_err(|what| wrong(what.to_string()))
+            .map_err(|cause| to_error(cause.to_string()))
     }
 
-    /// TLS of a client that shows its certificate.
+    /// TLS configuration of a client that presents its certificate.
     ///
     /// # Errors
     ///
-    /// Where the keys do not fit together.
+    /// Returns an error if the certificate and the key do not match.
     pub fn client(&self) -> Result<rustls::ClientConfig, Error> {
-        let wrong = |what: String| Error::new(Step::ReadKeys, self.folder.display(), what);
+        let to_error = |cause: String| Error::new(Step::ReadKeys, self.folder.display(), cause);
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         rustls::ClientConfig::builder_with_provider(provider)
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(|what| wrong(what.to_string()))?
+            .map_err(|cause| to_error(cause.to_string()))?
             .with_root_certificates(self.roots.clone())
             .with_client_auth_cert(self.chain.clone(), self.key.clone_key())
-            .map_err(|what| wrong(what.to_string()))
+            .map_err(|cause| to_error(cause.to_string()))
     }
 
-    /// TLS of an operator's client, which takes any entry box of the deployment.
+    /// TLS configuration of an operator's client, which accepts any entry box of the deployment.
     ///
     /// # Errors
     ///
-    /// Where the keys do not fit together.
+    /// Returns an error if the certificate and the key do not match.
     pub fn operator_client(&self) -> Result<rustls::ClientConfig, Error> {
-        let wrong = |what: String| Error::new(Step::ReadKeys, self.folder.display(), what);
+        let to_error = |cause: String| Error::new(Step::ReadKeys, self.folder.display(), cause);
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let verifier = EntryVerifier::new(self.roots.clone(), provider).map_err(wrong)?;
+        let verifier = EntryVerifier::new(self.roots.clone(), provider).map_err(to_error)?;
         let mut client = self.client()?;
         client.dangerous().set_certificate_verifier(verifier);
         Ok(client)
@@ -148,18 +149,18 @@
     pub(crate) fn quic_server(&self) -> Result<quinn::ServerConfig, Error> {
         let mut tls = self.server()?;
         tls.alpn_protocols = vec![PEER_PROTOCOL.to_vec()];
-        let wrong = |what: String| Error::new(Step::ReadKeys, self.folder.display(), what);
+        let to_error = |cause: String| Error::new(Step::ReadKeys, self.folder.display(), cause);
         let crypto = quinn::crypto::rustls::QuicServerConfig::try_from(tls);
-        let crypto = crypto.map_err(|what| wrong(what.to_string()))?;
+        let crypto = crypto.map_err(|cause| to_error(cause.to_string()))?;
         Ok(quinn::ServerConfig::with_crypto(Arc::new(crypto)))
     }
 
     pub(crate) fn quic_client(&self) -> Result<quinn::ClientConfig, Error> {
         let mut tls = self.client()?;
         tls.alpn_protocols = vec![PEER_PROTOCOL.to_vec()];
-        let wrong = |what: String| Error::new(Step::ReadKeys, self.folder.display(), what);
+        let to_error = |cause: String| Error::new(Step::ReadKeys, self.folder.display(), cause);
         let crypto = quinn::crypto::rustls::QuicClientConfig::try_from(tls);
-        let crypto = crypto.map_err(|what| wrong(what.to_string()))?;
+        let crypto = crypto.map_err(|cause| to_error(cause.to_string()))?;
         Ok(quinn::ClientConfig::new(Arc::new(crypto)))
     }
 }
--- a/crates/gingerpier_link/src/endpoint.rs
+++ b/crates/gingerpier_link/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! A process's UDP socket, and its links to others.
+//! QUIC endpoint of a process, and its links to other processes.
 
 use {
     crate::{
@@ -12,24 +12,24 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Milliseconds of silence after which a link is taken to be down.
+/// Time without received packets after which a link is closed.
 pub const IDLE_MILLIS: u32 = 4_000;
-/// Milliseconds after which an idle link is asked whether it is still there.
+/// Interval of keep-alive packets on an idle link.
 const KEEP_ALIVE_MILLIS: u64 = 1_300;
-/// Requests that one peer may have open on one link.
+/// Maximum number of concurrent streams that a peer may open on a link.
 const MAX_STREAMS: u32 = 4_096;
-/// Bytes in flight on one link.
-const LINK_WINDOW: u32 = 16 << 20;
-/// Bytes in flight on one stream.
-const STREAM_WINDOW: u32 = 8 << 20;
+/// Flow control window of a link, in bytes.
+const LINK_WINDOW_BYTES: u32 = 16 << 20;
+/// Flow control window of a stream, in bytes.
+const STREAM_WINDOW_BYTES: u32 = 8 << 20;
 
-/// A bound socket.
+/// Bound UDP socket that opens and accepts links.
 #[derive(Clone)]
 pub struct Endpoint {
     inner: quinn::Endpoint,
 }
 
-/// A peer that wants to connect, and has not yet shown who it is.
+/// Connection attempt of a peer that is not yet authenticated.
 pub struct Incoming {
     inner: quinn::Incoming,
 }
@@ -48,9 +48,9 @@
         .keep_alive_interval(Some(Duration::from_millis(KEEP_ALIVE_MILLIS)))
         .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS))
         .max_concurrent_uni_streams(VarInt::from_u32(0))
-        .receive_window(VarInt::from_u32(LINK_WINDOW))
-        .stream_receive_window(VarInt::from_u32(STREAM_WINDOW))
-        .send_window(u64::from(LINK_WINDOW));
+        .receive_window(VarInt::from_u32(LINK_WINDOW_BYTES))
+        .stream_receive_window(VarInt::from_u32(STREAM_WINDOW_BYTES))
+        .send_window(u64::from(LINK_WINDOW_BYTES));
     Arc::new(transport)
 }
 
@@ -67,35 +67,35 @@
 }
 
 impl Endpoint {
-    /// Binds `address`; port 0 takes a free one.
+    /// Binds `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Where the address is taken, or the keys do not fit.
+    /// Returns an error if the address is in use or the keys are invalid.
     pub fn bind(address: SocketAddr, credentials: &Credentials) -> Result<Self, Error> {
         let server = server_config(credentials)?;
         let mut inner = quinn::Endpoint::server(server, address)
-            .map_err(|what| Error::new(Step::Bind, address, what))?;
+            .map_err(|cause| Error::new(Step::Bind, address, cause))?;
         inner.set_default_client_config(client_config(credentials)?);
         Ok(Self { inner })
     }
 
-    /// Address bound.
+    /// Bound address.
     ///
     /// # Errors
     ///
-    /// Where the socket is gone.
+    /// Returns an error if the socket is closed.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         self.inner
             .local_addr()
-            .map_err(|what| Error::new(Step::Bind, "own socket", what))
+            .map_err(|cause| Error::new(Step::Bind, "local socket", cause))
     }
 
-    /// Uses new keys for links made from now on.
+    /// Uses new keys for future links.
     ///
     /// # Errors
     ///
-    /// Where the keys do not fit; the old ones stay in use.
+    /// Returns an error if the keys are invalid; the old ones remain in use.
     pub fn renew(&mut self, credentials: &Credentials) -> Result<(), Error> {
         let server = server_config(credentials)?;
         let client = client_config(credentials)?;
@@ -104,32 +104,34 @@
         Ok(())
     }
 
-    /// Connects to `peer`, which must show a certificate for that role and box.
+    /// Connects to `peer`, which must present a certificate for this role and box.
     ///
     /// # Errors
     ///
-    /// Where it can't be reached, or is somebody else.
+    /// Returns an error if the peer is unreachable or has another identity.
     pub async fn connect(&self, address: SocketAddr, peer: &Identity) -> Result<Link, Error> {
-        let wrong = |what: String| Error::new(Step::Connect, format!("{peer} at {address}"), what);
+        let to_error =
+            |cause: String| Error::new(Step::Connect, format!("{peer} at {address}"), cause);
         let connecting = self.inner.connect(address, &peer.server_name());
-        let connecting = connecting.map_err(|what| wrong(what.to_string()))?;
-        let inner = connecting.await.map_err(|what| wrong(what.to_string()))?;
+        let connecting = connecting.map_err(|cause| to_error(cause.to_string()))?;
+        let inner = connecting
+            .await
+            .map_err(|cause| to_error(cause.to_string()))?;
         Ok(Link {
             inner,
             peer: peer.clone(),
         })
     }
 
-    /// Next peer that wants to connect; none once the endpoint is closed.
+    /// Next connection attempt of a peer; none once the endpoint is closed.
     ///
-    /// Its handshake is for a task of its own: a peer that falls silent within it must not hold up
-    /// the others.
+    /// Authenticate it in a separate task, so that a stalled handshake does not block other peers.
     pub async fn accept(&self) -> Option<Incoming> {
         let inner = self.inner.accept().await?;
         Some(Incoming { inner })
     }
 
-    /// Closes all links, and waits until the peers were told.
+    /// Closes all links and waits until the peers are notified.
     pub async fn close(&self) {
         self.inner.close(VarInt::from_u32(0), b"stopped");
         self.inner.wait_idle().await;
@@ -137,29 +139,32 @@
 }
 
 impl Incoming {
-    /// Carries out the handshake; the peer must show a certificate of the deployment.
+    /// Completes the handshake; the peer must present a certificate of the deployment.
     ///
     /// # Errors
     ///
-    /// Where it shows none, or falls silent.
+    /// Returns an error if the handshake fails or times out.
     pub async fn authenticate(self) -> Result<Link, Error> {
         let address = self.inner.remote_address();
-        let wrong = |what: String| Error::new(Step::Authenticate, address, what);
+        let to_error = |cause: String| Error::new(Step::Authenticate, address, cause);
         let accepted = self.inner.accept();
-        let connecting = accepted.map_err(|what| wrong(what.to_string()))?;
-        let inner = connecting.await.map_err(|what| wrong(what.to_string()))?;
-        let shown = inner
+        let connecting = accepted.map_err(|cause| to_error(cause.to_string()))?;
+        let inner = connecting
+            .await
+            .map_err(|cause| to_error(cause.to_string()))?;
+        let certificates = inner
             .peer_identity()
             .and_then(|any| any.downcast::<Vec<CertificateDer<'_>>>().ok());
-        let shown = shown.and_then(|chain| chain.first().cloned());
-        let certificate = shown.ok_or_else(|| wrong("no certificate was shown".to_owned()))?;
+        let certificates = certificates.and_then(|chain| chain.first().cloned());
+        let certificate =
+            certificates.ok_or_else(|| to_error("peer presented no certificate".to_owned()))?;
         let peer = Identity::from_certificate(&certificate)?;
         Ok(Link { inner, peer })
     }
 }
 
 impl Link {
-    /// Who is at the other end, by its certificate.
+    /// Identity in the peer's certificate.
     pub const fn peer(&self) -> &Identity {
         &self.peer
     }
@@ -168,45 +173,46 @@
     ///
     /// # Errors
     ///
-    /// Where the link is down.
+    /// Returns an error if the link is closed.
     pub async fn open(&self) -> Result<Stream, Error> {
         let opened = self.inner.open_bi().await;
-        let (send, receive) = opened.map_err(|what| Error::new(Step::Open, &self.peer, what))?;
+        let (send, receive) = opened.map_err(|cause| Error::new(Step::Open, &self.peer, cause))?;
         Ok(Stream::new(send, receive, self.peer.clone()))
     }
 
-    /// Next stream that the peer opens.
+    /// Accepts the next stream that the peer opens.
     ///
     /// # Errors
     ///
-    /// Where the link is down.
+    /// Returns an error if the link is closed.
     pub async fn accept(&self) -> Result<Stream, Error> {
         let accepted = self.inner.accept_bi().await;
-        let (send, receive) = accepted.map_err(|what| Error::new(Step::Open, &self.peer, what))?;
+        let (send, receive) =
+            accepted.map_err(|cause| Error::new(Step::Open, &self.peer, cause))?;
         Ok(Stream::new(send, receive, self.peer.clone()))
     }
 
-    /// Number of the link, unique in its process.
+    /// Identifier of the link, unique in the process.
     pub fn id(&self) -> usize {
         self.inner.stable_id()
     }
 
-    /// True once the link is down.
+    /// True once the link is closed.
     pub fn is_closed(&self) -> bool {
         self.inner.close_reason().is_some()
     }
 
-    /// Waits until the link is down.
+    /// Waits until the link is closed.
     pub async fn closed(&self) {
         self.inner.closed().await;
     }
 
-    /// Takes the link down.
+    /// Closes the link.
     pub fn close(&self) {
         self.inner.close(VarInt::from_u32(0), b"closed");
     }
 
-    /// What its way is like now.
+    /// Current statistics of the network path.
     pub fn path(&self) -> Path {
         let path = self.inner.stats().path;
         Path {
@@ -215,7 +221,7 @@
         }
     }
 
-    /// Bytes sent and received, with all that the transport adds.
+    /// Bytes sent and received, including transport overhead.
     pub fn traffic(&self) -> Traffic {
         let stats = self.inner.stats();
         Traffic {
@@ -225,16 +231,16 @@
     }
 }
 
-/// What a link's way is like.
+/// Statistics of a link's network path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Path {
-    /// Time there and back.
+    /// Round-trip time.
     pub rtt: Duration,
-    /// Packets lost since the link was made.
+    /// Packets lost since the link was opened.
     pub lost_packets: u64,
 }
 
-/// Bytes of one link.
+/// Traffic of a link, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Traffic {
     /// Bytes sent.
@@ -244,7 +250,7 @@
 }
 
 impl Traffic {
-    /// Sum of both.
+    /// Sum of two traffic counts.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
--- a/crates/gingerpier_link/src/entry_verifier.rs
+++ b/crates/gingerpier_link/src/entry_verifier.rs
@@ -1,7 +1,7 @@
-//! How an operator's client knows an entry box: by role, whatever address it was reached at.
+//! Verification of an entry box's certificate by an operator's client.
 //!
-//! Entry boxes are replaced at any time behind fixed addresses, so an operator can't name the one
-//! that will answer; what counts is that the deployment's authority certified it as an entry box.
+//! Entry boxes behind an address can be replaced at any time, so the client checks the role in the
+//! certificate instead of the host name.
 
 use {
     crate::identity::Identity,
@@ -18,22 +18,22 @@
     std::sync::Arc,
 };
 
-/// Accepts certificates of entry boxes.
+/// Accepts a certificate of any entry box of the deployment.
 #[derive(Debug)]
 pub(crate) struct EntryVerifier {
     inner: Arc<WebPkiServerVerifier>,
 }
 
 impl EntryVerifier {
-    /// Verifier against the deployment's authorities.
+    /// Creates a verifier that trusts the authorities in `roots`.
     pub(crate) fn new(
         roots: Arc<RootCertStore>,
         provider: Arc<CryptoProvider>,
     ) -> Result<Arc<Self>, String> {
-        let built = WebPkiServerVerifier::builder_with_provider(roots, provider).build();
-        built
+        let verifier = WebPkiServerVerifier::builder_with_provider(roots, provider).build();
+        verifier
             .map(|inner| Arc::new(Self { inner }))
-            .map_err(|what| what.to_string())
+            .map_err(|cause| cause.to_string())
     }
 }
 
--- a/crates/gingerpier_link/src/error.rs
+++ b/crates/gingerpier_link/src/error.rs
@@ -1,8 +1,8 @@
-//! What went wrong on a link: the step, and the peer.
+//! Errors of links and key files.
 
 use {displaydoc::Display, std::io};
 
-/// What a process was doing.
+/// Operation that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Step {
     /// reading keys
@@ -13,7 +13,7 @@
     Bind,
     /// connecting
     Connect,
-    /// checking the certificate
+    /// authenticating
     Authenticate,
     /// opening a stream
     Open,
@@ -28,18 +28,18 @@
 /// {step}, {peer}: {what}
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub struct Error {
-    /// Step that failed.
+    /// Operation that failed.
     pub step: Step,
-    /// Peer, or file.
+    /// Peer, or path of a file.
     pub peer: String,
-    /// What happened.
+    /// Cause.
     pub what: String,
 }
 
 impl std::error::Error for Error {}
 
 impl Error {
-    /// Error of `step` with `peer`.
+    /// Creates an error of `step` with `peer`.
     pub fn new(step: Step, peer: impl ToString, what: impl ToString) -> Self {
         Self {
             step,
--- a/crates/gingerpier_link/src/identity.rs
+++ b/crates/gingerpier_link/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a certificate is for.
+//! Identity in a certificate.
 
 use {
     crate::error::{Error, Step},
@@ -8,24 +8,25 @@
     x509_parser::prelude::{FromDer, GeneralName, X509Certificate},
 };
 
+/// Suffix of the DNS name in a certificate.
 const SUFFIX: &str = ".gingerpier";
 
 /// Role and name of a process or an operator.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Identity {
-    /// What it does.
+    /// Role.
     pub role: Role,
-    /// Box, or operator.
+    /// Name of the box or operator.
     pub name: Name,
 }
 
 impl Identity {
-    /// Name in the certificate.
+    /// DNS name in the certificate.
     pub fn server_name(&self) -> String {
         format!("{}.{}{SUFFIX}", self.role, self.name)
     }
 
-    /// Identity from the name in a certificate.
+    /// Parses the DNS name in a certificate.
     pub fn from_server_name(name: &str) -> Option<Self> {
         let (role, name) = name.strip_suffix(SUFFIX)?.split_once('.')?;
         Some(Self {
@@ -34,24 +35,24 @@
         })
     }
 
-    /// Identity from a certificate whose signature has been checked.
+    /// Reads the identity of a certificate whose signature has been verified.
     ///
     /// # Errors
     ///
-    /// Where the certificate names no role and box.
+    /// Returns an error if the certificate contains no valid identity.
     pub fn from_certificate(certificate: &CertificateDer<'_>) -> Result<Self, Error> {
-        let error = |what: &str| Error::new(Step::Authenticate, "certificate", what);
+        let error = |cause: &str| Error::new(Step::Authenticate, "certificate", cause);
         let (_, parsed) = X509Certificate::from_der(certificate)
-            .map_err(|_| error("the certificate can't be read"))?;
+            .map_err(|_| error("certificate cannot be parsed"))?;
         let names = parsed.subject_alternative_name().ok().flatten();
         let names = names
             .map(|names| names.value.general_names.as_slice())
             .unwrap_or_default();
-        let found = names.iter().find_map(|name| match name {
+        let identity = names.iter().find_map(|name| match name {
             GeneralName::DNSName(name) => Self::from_server_name(name),
             _ => None,
         });
-        found.ok_or_else(|| error("the certificate names no role and box"))
+        identity.ok_or_else(|| error("certificate contains no role and name"))
     }
 }
 
--- a/crates/gingerpier_link/src/lib.rs
+++ b/crates/gingerpier_link/src/lib.rs
@@ -1,8 +1,7 @@
 //! Authenticated QUIC links between gingerpier processes, and their keys.
 //!
-//! Every process has a certificate from the deployment's own authority that names its role and
-//! its box; both ends of every link check it. Keys are read again when their files change, and
-//! links made from then on use the new ones.
+//! Each process has a certificate of the deployment's authority with its role and box name, which
+//! both ends of a link verify. Keys are reloaded when their files change; new links use the new keys.
 //!
 //! ```
 //! use gingerpier_base::place::Role;
--- a/crates/gingerpier_link/src/stream.rs
+++ b/crates/gingerpier_link/src/stream.rs
@@ -1,4 +1,4 @@
-//! One request and its answer on a link.
+//! Stream of a link, which carries one request and its response.
 
 use {
     crate::{
@@ -11,10 +11,10 @@
     quinn::VarInt,
 };
 
-/// Bytes read from a stream at once.
-const READ_BYTES: usize = 256 << 10;
+/// Maximum size of one read.
+const MAX_READ_BYTES: usize = 256 << 10;
 
-/// Both directions of a stream.
+/// Bidirectional stream.
 pub struct Stream {
     send: quinn::SendStream,
     receive: quinn::RecvStream,
@@ -34,57 +34,57 @@
         }
     }
 
-    /// Who is at the other end.
+    /// Identity of the peer.
     pub const fn peer(&self) -> &Identity {
         &self.peer
     }
 
-    fn error(&self, step: Step, what: impl ToString) -> Error {
-        Error::new(step, &self.peer, what)
+    fn error(&self, step: Step, cause: impl ToString) -> Error {
+        Error::new(step, &self.peer, cause)
     }
 
     /// Sends a frame.
     ///
     /// # Errors
     ///
-    /// Where the frame is too long, or the peer reads no more.
+    /// Returns an error if the frame is too long or the stream is closed.
     pub async fn send<T: Encode<()>>(&mut self, frame: &T) -> Result<(), Error> {
-        let bytes = codec::encode(frame).map_err(|what| self.error(Step::Send, what))?;
+        let bytes = codec::encode(frame).map_err(|cause| self.error(Step::Send, cause))?;
         self.send_bytes(&bytes).await
     }
 
-    /// Sends bytes as they are.
+    /// Sends bytes without framing.
     ///
     /// # Errors
     ///
-    /// Where the peer reads no more.
+    /// Returns an error if the stream is closed.
     pub async fn send_bytes(&mut self, bytes: &[u8]) -> Result<(), Error> {
-        let sent = self.send.write_all(bytes).await;
-        sent.map_err(|what| self.error(Step::Send, what))
+        let result = self.send.write_all(bytes).await;
+        result.map_err(|cause| self.error(Step::Send, cause))
     }
 
-    /// Sends bytes that are held already, without copying them.
+    /// Sends a shared buffer without copying it.
     ///
     /// # Errors
     ///
-    /// Where the peer reads no more.
+    /// Returns an error if the stream is closed.
     pub async fn send_held(&mut self, bytes: Bytes) -> Result<(), Error> {
-        let sent = self.send.write_chunk(bytes).await;
-        sent.map_err(|what| self.error(Step::Send, what))
+        let result = self.send.write_chunk(bytes).await;
+        result.map_err(|cause| self.error(Step::Send, cause))
     }
 
-    /// Notes that nothing more is sent.
+    /// Ends the sending direction.
     pub fn finish(&mut self) {
-        // The stream may have been closed by the peer already, which is as good.
+        // An error means that the peer has already closed the stream.
         let _ = self.send.finish();
     }
 
-    /// Waits until the peer stops reading, or has read all of a finished stream.
+    /// Waits until the peer stops reading or has received a finished stream.
     pub async fn peer_stopped(&mut self) {
         let _ = self.send.stopped().await;
     }
 
-    /// Gives the stream up in both directions.
+    /// Aborts both directions.
     pub fn reset(&mut self) {
         let _ = self.send.reset(VarInt::from_u32(1));
         let _ = self.receive.stop(VarInt::from_u32(1));
@@ -94,44 +94,47 @@
     ///
     /// # Errors
     ///
-    /// Where the stream ends, or holds something else.
+    /// Returns an error if the stream ends or the frame is invalid.
     pub async fn receive<T>(&mut self) -> Result<T, Error>
     where
         T: for<'b> Decode<'b, ()>,
     {
         let mut header = [0; codec::LENGTH_BYTES];
-        self.fill(&mut header).await?;
-        let length = codec::length(header).map_err(|what| self.error(Step::Decode, what))?;
+        self.read_into(&mut header).await?;
+        let length = codec::length(header).map_err(|cause| self.error(Step::Decode, cause))?;
         let mut bytes = vec![0; length];
-        self.fill(&mut bytes).await?;
-        codec::decode(&bytes).map_err(|what| self.error(Step::Decode, what))
+        self.read_into(&mut bytes).await?;
+        codec::decode(&bytes).map_err(|cause| self.error(Step::Decode, cause))
     }
 
     /// Receives exactly `length` bytes.
     ///
     /// # Errors
     ///
-    /// Where the stream ends before.
+    /// Returns an error if the stream ends early.
     pub async fn receive_exact(&mut self, length: usize) -> Result<Vec<u8>, Error> {
         let mut bytes = vec![0; length];
-        self.fill(&mut bytes).await?;
+        self.read_into(&mut bytes).await?;
         Ok(bytes)
     }
 
-    /// Receives some bytes, `most` at most, as soon as there are any.
+    /// Receives up to `max_bytes` bytes as soon as some are available.
     ///
     /// # Errors
     ///
-    /// Where the stream ends.
-    pub async fn receive_some(&mut self, most: usize) -> Result<Bytes, Error> {
-        let read = self.receive.read_chunk(most.min(READ_BYTES), true).await;
-        let chunk = read.map_err(|what| self.error(Step::Receive, what))?;
-        let chunk = chunk.ok_or_else(|| self.error(Step::Receive, "the stream ended early"))?;
+    /// Returns an error if the stream ends.
+    pub async fn receive_some(&mut self, max_bytes: usize) -> Result<Bytes, Error> {
+        let read = self
+            .receive
+            .read_chunk(max_bytes.min(MAX_READ_BYTES), true)
+            .await;
+        let chunk = read.map_err(|cause| self.error(Step::Receive, cause))?;
+        let chunk = chunk.ok_or_else(|| self.error(Step::Receive, "stream ended early"))?;
         Ok(chunk.bytes)
     }
 
-    async fn fill(&mut self, bytes: &mut [u8]) -> Result<(), Error> {
+    async fn read_into(&mut self, bytes: &mut [u8]) -> Result<(), Error> {
         let read = self.receive.read_exact(bytes).await;
-        read.map_err(|what| self.error(Step::Receive, what))
+        read.map_err(|cause| self.error(Step::Receive, cause))
     }
 }
--- a/crates/gingerpier_services/src/box_list.rs
+++ b/crates/gingerpier_services/src/box_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving boxes, which lags.
+//! Client of the platform's list of alive and leaving boxes, which may be out of date.
 
 use {
     crate::{error::Error, error::Step, http::Call},
@@ -8,17 +8,17 @@
     std::time::Duration,
 };
 
-/// The list.
+/// Contents of the box list.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Listed {
-    /// Its boxes.
+    /// Listed boxes.
     pub boxes: Vec<Entry>,
 }
 
-/// One box.
+/// Entry of one box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the box.
     pub name: Name,
     /// Role of its process: `entry` or `backend`.
     pub role: String,
@@ -26,18 +26,18 @@
     pub region: Name,
     /// Availability zone.
     pub zone: Name,
-    /// Address of its process for other processes.
+    /// Address of its process for links.
     pub address: String,
-    /// True once it is to leave.
+    /// True if the box is about to leave.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Reads the list at `url`.
+/// Fetches the list at `url`.
 ///
 /// # Errors
 ///
-/// Where the list can't be had.
+/// Returns an error if the list cannot be fetched or decoded.
 pub async fn read(
     http: &Http,
     url: &str,
@@ -50,6 +50,6 @@
         now,
         patience,
     };
-    let mut answer = call.answer(http.get(url).send()).await?;
-    call.json(&mut answer).await
+    let mut response = call.answer(http.get(url).send()).await?;
+    call.json(&mut response).await
 }
--- a/crates/gingerpier_services/src/engine.rs
+++ b/crates/gingerpier_services/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines and plain services on a backend server.
+//! Client of model engines and plain services on a backend server.
 
 use {
     crate::{
@@ -17,67 +17,67 @@
 
 /// Header with the identifier of an attempt.
 pub const ATTEMPT_HEADER: &str = "gingerpier-attempt";
-/// Header with the digest of the manifest that answers.
+/// Header with the digest of the manifest that serves the request.
 pub const WEIGHTS_HEADER: &str = "gingerpier-weights";
-/// Header with the digest of the adapter that answers.
+/// Header with the digest of the adapter that serves the request.
 pub const ADAPTER_HEADER: &str = "gingerpier-adapter";
 /// Header with the priority of a request.
 pub const PRIORITY_HEADER: &str = "gingerpier-priority";
-/// Header with the number of events that the caller has already.
+/// Header with the number of events that the caller has already received.
 pub const RESUME_HEADER: &str = "gingerpier-resume-after";
 
-/// What an engine says of itself.
+/// Status reported by an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Status {
-    /// Digest of the manifest that it holds whole; it computes it itself.
+    /// Digest of the loaded manifest, computed by the engine.
     pub weights: Option<String>,
-    /// Digests of adapters that it holds whole.
+    /// Digests of the loaded adapters.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Highest fence of an order it took.
+    /// Highest fence of an accepted order.
     pub fence: u64,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
 }
 
 /// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fence; an engine that checks refuses a lower one than it has seen.
+    /// Fence; an engine that checks fences refuses one lower than the highest it has accepted.
     pub fence: u64,
-    /// What to do.
+    /// Action.
     #[serde(flatten)]
     pub what: What,
 }
 
-/// What an engine is ordered to do.
+/// Action of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "order")]
 pub enum What {
-    /// Make room for a version, dropping all others: its manifest follows as hexadecimal text.
+    /// Prepare for a version: unload all others and reserve memory for its manifest.
     Prepare {
         /// Digest of the manifest.
         weights: String,
-        /// The manifest.
+        /// Manifest as hexadecimal text.
         manifest: String,
-        /// Base version that an adapter goes on; the base is then kept.
+        /// Digest of the base version of an adapter, which stays loaded.
         base: Option<String>,
     },
-    /// Serve a version whose chunks were given, where they are all there and right.
+    /// Serve a version, if all of its chunks have been received and match their digests.
     Activate {
         /// Digest of the manifest.
         weights: String,
     },
-    /// Drop an adapter.
+    /// Unload an adapter.
     DropAdapter {
         /// Digest of the adapter's manifest.
         weights: String,
     },
-    /// Drop everything.
+    /// Unload all weights.
     Clear,
 }
 
@@ -90,7 +90,7 @@
     pub path: String,
     /// Content type of the body.
     pub content_type: Option<String>,
-    /// Headers of this system.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
     /// Body.
     pub body: Bytes,
@@ -106,7 +106,7 @@
 }
 
 impl Client {
-    /// Client of the engine at `url`; `patience` is for answers to orders and questions.
+    /// Client of the engine at `url`; `patience` is the timeout of status calls and orders.
     pub const fn new(
         http: Http,
         exchange: exchange::Client,
@@ -126,11 +126,11 @@
         &self.url
     }
 
-    /// Asks for its status.
+    /// Fetches the status of the engine.
     ///
     /// # Errors
     ///
-    /// Where it does not answer.
+    /// Returns an error if the engine does not respond.
     pub async fn status(&self, now: Instant) -> Result<Status, Error> {
         let url = format!("{}/status", self.url);
         let call = Call {
@@ -139,15 +139,15 @@
             now,
             patience: self.patience,
         };
-        let mut answer = call.answer(self.http.get(&url).send()).await?;
-        call.json(&mut answer).await
+        let mut response = call.answer(self.http.get(&url).send()).await?;
+        call.json(&mut response).await
     }
 
-    /// Gives it an order.
+    /// Sends an order.
     ///
     /// # Errors
     ///
-    /// Where it refuses the order, or does not answer.
+    /// Returns an error if the engine refuses the order or does not respond.
     pub async fn order(&self, order: &Order, now: Instant) -> Result<(), Error> {
         let url = format!("{}/orders", self.url);
         let call = Call {
@@ -156,16 +156,16 @@
             now,
             patience: self.patience,
         };
-        let mut answer = call.answer(self.http.post(&url).send_json(order)).await?;
-        call.body(&mut answer).await?;
+        let mut response = call.answer(self.http.post(&url).send_json(order)).await?;
+        call.body(&mut response).await?;
         Ok(())
     }
 
-    /// Gives it a chunk of a version that it was ordered to prepare for.
+    /// Sends a chunk of a version that the engine has been ordered to prepare for.
     ///
     /// # Errors
     ///
-    /// Where it does not take the chunk.
+    /// Returns an error if the engine refuses the chunk or does not respond.
     pub async fn give(
         &self,
         weights: &str,
@@ -181,36 +181,40 @@
             now,
             patience: self.patience,
         };
-        let mut answer = call.answer(self.http.put(&url).send_body(chunk)).await?;
-        call.body(&mut answer).await?;
+        let mut response = call.answer(self.http.put(&url).send_body(chunk)).await?;
+        call.body(&mut response).await?;
         Ok(())
     }
 
-    /// Starts a request; its answer's body is read by the caller, part by part.
+    /// Sends a request and returns once the response head arrives; the caller reads the body.
     ///
     /// # Errors
     ///
-    /// Where no answer begins in `patience`; [`Error::had_no_effect`] tells whether it ran.
+    /// Returns an error if no response head arrives within `patience`; [`Error::had_no_effect`] tells whether the
+    /// request may have run.
     pub async fn run(&self, run: Run, patience: Duration) -> Result<Answer, Error> {
         let url = format!("{}{}", self.url, run.path);
-        let mut asked = Request::builder().method(run.method).uri(&url);
+        let mut request = Request::builder().method(run.method).uri(&url);
         for (name, value) in run.headers {
-            asked = asked.header(name, value);
+            request = request.header(name, value);
         }
         if let Some(content_type) = run.content_type {
-            asked = asked.header(header::CONTENT_TYPE, content_type);
+            request = request.header(header::CONTENT_TYPE, content_type);
         }
-        let wrong = |fault| Error::new(Step::Run, &url, fault);
-        let asked = asked.body(Full::new(run.body));
-        let asked = asked.map_err(|error| wrong(Fault::Refused(error.to_string())))?;
-        self.exchange.send(asked, patience).await.map_err(wrong)
+        let run_error = |fault| Error::new(Step::Run, &url, fault);
+        let request = request.body(Full::new(run.body));
+        let request = request.map_err(|error| run_error(Fault::Refused(error.to_string())))?;
+        self.exchange
+            .send(request, patience)
+            .await
+            .map_err(run_error)
     }
 
     /// Cancels a request.
     ///
     /// # Errors
     ///
-    /// Where the engine does not answer.
+    /// Returns an error if the engine does not respond.
     pub async fn cancel(&self, attempt: &str, now: Instant) -> Result<(), Error> {
         let url = format!("{}/attempts/{attempt}", self.url);
         let call = Call {
--- a/crates/gingerpier_services/src/error.rs
+++ b/crates/gingerpier_services/src/error.rs
@@ -1,17 +1,17 @@
-//! What went wrong at the platform's edge: the step, the peer, and whether it had an effect.
+//! Errors of calls to the platform's services.
 
 use {displaydoc::Display, gingerpier_base::Instant};
 
-/// What was being done.
+/// Operation that failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Step {
     /// reading a key
     ReadKey,
     /// writing keys
     WriteKeys,
-    /// holding a lease
+    /// renewing a lease
     Lease,
-    /// watching
+    /// watching a key
     Watch,
     /// reading the box list
     ReadBoxList,
@@ -19,48 +19,48 @@
     ReadManifest,
     /// reading weights
     ReadWeights,
-    /// asking an engine
+    /// polling the status of an engine
     AskEngine,
-    /// giving an engine weights
+    /// sending weights to an engine
     GiveWeights,
-    /// ordering an engine
+    /// sending an order to an engine
     OrderEngine,
     /// running a request
     Run,
 }
 
-/// What happened.
+/// Cause of an error.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Fault {
-    /// it can't be reached
+    /// connection failed
     Unreachable,
-    /// it refuses calls for now
+    /// service is busy
     Busy(Instant),
-    /// no answer came: {0}
+    /// no complete response: {0}
     Unanswered(String),
-    /// it refuses: {0}
+    /// request refused: {0}
     Refused(String),
-    /// it does not have it
+    /// not found
     Missing,
-    /// its answer can't be read: {0}
+    /// response cannot be decoded: {0}
     Unreadable(String),
 }
 
 /// {step}, {peer}: {fault}
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub struct Error {
-    /// Step that failed.
+    /// Operation that failed.
     pub step: Step,
-    /// URL.
+    /// URL of the service.
     pub peer: String,
-    /// What happened.
+    /// Cause.
     pub fault: Fault,
 }
 
 impl std::error::Error for Error {}
 
 impl Error {
-    /// Error of `step` at `peer`.
+    /// Creates an error of `step` at the URL `peer`.
     pub fn new(step: Step, peer: &str, fault: Fault) -> Self {
         Self {
             step,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// True where the call certainly had no effect.
+    /// True if the call certainly had no effect; false if it may have had one.
     pub const fn had_no_effect(&self) -> bool {
         match self.fault {
             Fault::Unreachable | Fault::Busy(_) | Fault::Refused(_) | Fault::Missing => true,
--- a/crates/gingerpier_services/src/exchange.rs
+++ b/crates/gingerpier_services/src/exchange.rs
@@ -1,9 +1,8 @@
-//! HTTP exchanges whose answers' ends can be told.
+//! HTTP client for callers' requests, which detects truncated responses.
 //!
-//! The HTTP client that serves the other edges takes a chunked answer whose connection broke for
-//! a whole one. Callers' requests go through this client instead, which gives an error there, and
-//! which also tells a request that was never sent from one that may have run. It never sends a
-//! request again by itself.
+//! The client of [`crate::http`] treats a chunked response as complete if its connection is lost.
+//! This client returns an error instead, distinguishes requests that were never sent from those
+//! that may have run, and never retries.
 
 use {
     crate::error::Fault,
@@ -18,23 +17,23 @@
     std::{error::Error as _, time::Duration},
 };
 
-/// Time for a connection to be made.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
-/// Time for which an idle connection is kept.
-const KEEP_ALIVE: Duration = Duration::from_secs(15);
+/// Timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A client; connections to all hosts are shared.
+/// HTTP client; clones share one connection pool.
 #[derive(Debug, Clone)]
 pub struct Client {
     inner: Inner<HttpConnector, Full<Bytes>>,
 }
 
-/// An answer whose head has come.
+/// Response whose head has arrived.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
     body: Incoming,
 }
@@ -43,21 +42,21 @@
     fn default() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_PATIENCE));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let inner = Inner::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
-            .pool_idle_timeout(KEEP_ALIVE)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
         Self { inner }
     }
 }
 
-/// What an error says of the request's fate.
-fn fault(error: &Error) -> Fault {
+/// Classifies an error by whether the request may have run.
+fn classify(error: &Error) -> Fault {
     let inner = error
         .source()
         .and_then(|source| source.downcast_ref::<hyper::Error>());
-    // A cancelled request was never put on its connection.
+    // A cancelled request was never written to its connection.
     if error.is_connect() || inner.is_some_and(hyper::Error::is_canceled) {
         return Fault::Unreachable;
     }
@@ -65,46 +64,46 @@
 }
 
 impl Client {
-    /// Sends a request, and waits `patience` for the answer's head.
+    /// Sends a request and waits for the response head for at most `patience`.
     ///
     /// # Errors
     ///
-    /// Where there is no answer; the fault tells whether the request may have run.
+    /// Returns an error if no response arrives; the fault tells whether the request may have run.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
         patience: Duration,
     ) -> Result<Answer, Fault> {
         match actix_rt::time::timeout(patience, self.inner.request(request)).await {
-            Ok(Ok(answer)) => {
-                let (head, body) = answer.into_parts();
+            Ok(Ok(response)) => {
+                let (head, body) = response.into_parts();
                 Ok(Answer {
                     status: head.status,
                     headers: head.headers,
                     body,
                 })
             }
-            Ok(Err(error)) => Err(fault(&error)),
-            Err(_) => Err(Fault::Unanswered("no answer in time".to_owned())),
+            Ok(Err(error)) => Err(classify(&error)),
+            Err(_) => Err(Fault::Unanswered("response timed out".to_owned())),
         }
     }
 }
 
 impl Answer {
-    /// Text of a header.
+    /// Value of a header, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Next part of the body; none at its proper end.
+    /// Next part of the body; none at the end of a complete body.
     ///
     /// # Errors
     ///
-    /// Where the body breaks off.
+    /// Returns an error if the connection is lost before the end of the body.
     pub async fn part(&mut self) -> Result<Option<Bytes>, Fault> {
         while let Some(frame) = self.body.frame().await {
             let frame = frame.map_err(|error| Fault::Unanswered(error.to_string()))?;
-            // Trailers carry nothing of the body.
+            // Trailers are ignored.
             if let Ok(part) = frame.into_data() {
                 return Ok(Some(part));
             }
--- a/crates/gingerpier_services/src/http.rs
+++ b/crates/gingerpier_services/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP client for all edges: deadlines, connection reuse, faults told apart.
+//! HTTP client for the platform's services, with timeouts, connection reuse and typed errors.
 
 use {
     crate::error::{Error, Fault, Step},
@@ -15,23 +15,23 @@
     std::time::Duration,
 };
 
-/// Time for a connection to be made.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
-/// Connections kept to one host.
-const CONNECTIONS: usize = 1_024;
-/// Time for which an idle connection is kept.
-const KEEP_ALIVE: Duration = Duration::from_secs(15);
-/// Milliseconds to stay away where a busy service does not say how long.
-const DEFAULT_BUSY_MILLIS: u64 = 1_000;
-/// The longest answer that is read whole.
-const LONGEST_ANSWER: usize = 64 << 20;
+/// Timeout of a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of connections.
+const MAX_CONNECTIONS: usize = 1_024;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Backoff for a busy service that sends no `Retry-After` header.
+const DEFAULT_BACKOFF_MILLIS: u64 = 1_000;
+/// Maximum size of a buffered response body.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A client for one process; connections to all hosts are shared.
+/// Creates an HTTP client; its clones share one connection pool.
 pub fn client() -> Client {
     let connector = Connector::new()
-        .timeout(CONNECT_PATIENCE)
-        .limit(CONNECTIONS)
-        .conn_keep_alive(KEEP_ALIVE);
+        .timeout(CONNECT_TIMEOUT)
+        .limit(MAX_CONNECTIONS)
+        .conn_keep_alive(IDLE_TIMEOUT);
     Client::builder()
         .connector(connector)
         .disable_timeout()
@@ -39,115 +39,118 @@
         .finish()
 }
 
-/// One call of a service, for its errors.
+/// Context of one call to a service, for timeouts and errors.
 #[derive(Debug, Clone, Copy)]
 pub struct Call<'a> {
-    /// Step that the call is part of.
+    /// Operation that the call is part of.
     pub step: Step,
-    /// URL called.
+    /// URL of the request.
     pub url: &'a str,
-    /// Time of the call.
+    /// Time at which the call starts.
     pub now: Instant,
-    /// Time for the answer's head, and again for each part of its body.
+    /// Timeout of the response head, and of each part of the body.
     pub patience: Duration,
 }
 
 impl Call<'_> {
-    /// Error of this call.
+    /// Creates an error of this call.
     pub fn error(&self, fault: Fault) -> Error {
         Error::new(self.step, self.url, fault)
     }
 
-    /// Waits for the answer's head; refusals become errors.
+    /// Waits for the response head; a status other than success is an error.
     ///
     /// # Errors
     ///
-    /// Where there is no answer, or it is not one of success.
+    /// Returns an error if no response arrives or its status is not success.
     pub async fn answer<F>(&self, sending: F) -> Result<ClientResponse, Error>
     where
         F: Future<Output = Result<ClientResponse, SendRequestError>>,
     {
-        let mut answer = self.any_answer(sending).await?;
-        let status = answer.status();
+        let mut response = self.any_answer(sending).await?;
+        let status = response.status();
         if status.is_success() {
-            return Ok(answer);
+            return Ok(response);
         }
         if matches!(
             status,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
         ) {
-            return Err(self.error(Fault::Busy(self.busy_until(&answer))));
+            return Err(self.error(Fault::Busy(self.busy_until(&response))));
         }
         if status == StatusCode::NOT_FOUND {
             return Err(self.error(Fault::Missing));
         }
-        let said = self.body(&mut answer).await.unwrap_or_default();
-        let said = String::from_utf8_lossy(&said);
-        Err(self.error(Fault::Refused(format!("{status}: {}", said.trim()))))
+        let message = self.body(&mut response).await.unwrap_or_default();
+        let message = String::from_utf8_lossy(&message);
+        Err(self.error(Fault::Refused(format!("{status}: {}", message.trim()))))
     }
 
-    /// Waits for the answer's head, whatever its status.
+    /// Waits for the response head with any status.
     ///
     /// # Errors
     ///
-    /// Where there is no answer.
+    /// Returns an error if no response arrives.
     pub async fn any_answer<F>(&self, sending: F) -> Result<ClientResponse, Error>
     where
         F: Future<Output = Result<ClientResponse, SendRequestError>>,
     {
         match timeout(self.patience, sending).await {
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(SendRequestError::Connect(_))) => Err(self.error(Fault::Unreachable)),
             Ok(Err(error)) => Err(self.error(Fault::Unanswered(error.to_string()))),
-            Err(_) => Err(self.error(Fault::Unanswered("no answer in time".to_owned()))),
+            Err(_) => Err(self.error(Fault::Unanswered("response timed out".to_owned()))),
         }
     }
 
-    /// Next part of the body; none at its end.
+    /// Next part of the body; none at the end.
     ///
     /// # Errors
     ///
-    /// Where the body breaks off or stalls.
-    pub async fn part(&self, answer: &mut ClientResponse) -> Result<Option<Bytes>, Error> {
-        match timeout(self.patience, answer.next()).await {
+    /// Returns an error if the connection is lost or no data arrives within the timeout.
+    pub async fn part(&self, response: &mut ClientResponse) -> Result<Option<Bytes>, Error> {
+        match timeout(self.patience, response.next()).await {
             Ok(None) => Ok(None),
             Ok(Some(Ok(part))) => Ok(Some(part)),
             Ok(Some(Err(error))) => Err(self.error(Fault::Unanswered(error.to_string()))),
-            Err(_) => Err(self.error(Fault::Unanswered("the answer stalled".to_owned()))),
+            Err(_) => Err(self.error(Fault::Unanswered("the response stalled".to_owned()))),
         }
     }
 
-    /// The whole body.
+    /// Reads the complete body.
     ///
     /// # Errors
     ///
-    /// Where the body breaks off, stalls, or is too long.
-    pub async fn body(&self, answer: &mut ClientResponse) -> Result<Bytes, Error> {
+    /// Returns an error if the connection is lost, the body stalls, or it is too long.
+    pub async fn body(&self, response: &mut ClientResponse) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
-        while let Some(part) = self.part(answer).await? {
-            if body.len() + part.len() > LONGEST_ANSWER {
-                return Err(self.error(Fault::Unreadable("it is too long".to_owned())));
+        while let Some(part) = self.part(response).await? {
+            if body.len() + part.len() > MAX_BODY_BYTES {
+                return Err(self.error(Fault::Unreadable("response body is too long".to_owned())));
             }
             body.extend_from_slice(&part);
         }
         Ok(body.freeze())
     }
 
-    /// The whole body as JSON.
+    /// Reads the complete body as JSON.
     ///
     /// # Errors
     ///
-    /// Where the body can't be had, or is something else.
-    pub async fn json<T: DeserializeOwned>(&self, answer: &mut ClientResponse) -> Result<T, Error> {
-        let body = self.body(answer).await?;
+    /// Returns an error if the body cannot be read or decoded.
+    pub async fn json<T: DeserializeOwned>(
+        &self,
+        response: &mut ClientResponse,
+    ) -> Result<T, Error> {
+        let body = self.body(response).await?;
         serde_json::from_slice(&body)
             .map_err(|error| self.error(Fault::Unreadable(error.to_string())))
     }
 
-    fn busy_until(&self, answer: &ClientResponse) -> Instant {
-        let named = answer.headers().get(header::RETRY_AFTER);
-        let seconds = named.and_then(|value| value.to_str().ok()?.trim().parse::<f64>().ok());
-        let millis = seconds.map_or(DEFAULT_BUSY_MILLIS, |seconds| (seconds * 1e3) as u64);
+    fn busy_until(&self, response: &ClientResponse) -> Instant {
+        let retry_after = response.headers().get(header::RETRY_AFTER);
+        let seconds = retry_after.and_then(|value| value.to_str().ok()?.trim().parse::<f64>().ok());
+        let millis = seconds.map_or(DEFAULT_BACKOFF_MILLIS, |seconds| (seconds * 1e3) as u64);
         self.now.after_millis(millis)
     }
 }
--- a/crates/gingerpier_services/src/key_value.rs
+++ b/crates/gingerpier_services/src/key_value.rs
@@ -1,7 +1,7 @@
-//! The platform's key-value service: compare-and-swap, leases, watches.
+//! Client of the platform's key-value service: compare-and-swap, leases, watches.
 //!
-//! The protocol is the JSON form of the etcd v3 interface: keys and values in Base64, numbers as
-//! strings, a watch as a stream of JSON objects, one a line.
+//! The protocol is the JSON mapping of the etcd v3 API: keys and values in Base64, numbers as
+//! strings, watches as streams of one JSON object per line.
 
 use {
     crate::{
@@ -17,51 +17,51 @@
     std::time::Duration,
 };
 
-/// The largest value that the service takes.
+/// Maximum size of a value that the service accepts.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// A key with its value.
+/// A stored key and its value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
     /// Key.
     pub key: String,
     /// Value.
     pub value: Vec<u8>,
-    /// Service's revision of the last change of the key.
+    /// Store revision of the key's last change.
     pub changed: u64,
 }
 
-/// A condition of a change: the key was last changed at this revision; 0 for no such key.
+/// Precondition of a change: the key's last change was at this store revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Guard {
-    /// Key compared.
+    /// Compared key.
     pub key: String,
-    /// Service's revision compared.
+    /// Expected store revision of the key's last change; 0 if the key must not exist.
     pub changed: u64,
 }
 
-/// A key to be set.
+/// A key to set.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Put {
     /// Key.
     pub key: String,
     /// Value.
     pub value: Vec<u8>,
-    /// Lease whose end removes the key.
+    /// Lease whose expiry deletes the key.
     pub lease: Option<u64>,
 }
 
-/// Keys from `first` up to, not including, `end`.
+/// Half-open range of keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Range {
     /// First key.
     pub first: String,
-    /// End, not included.
+    /// End of the range, exclusive.
     pub end: String,
 }
 
 impl Range {
-    /// All keys that start with `prefix`, which ends with `/`.
+    /// Range of all keys with `prefix`, which must end with `/`.
     pub fn below(prefix: &str) -> Self {
         let end = format!("{}0", prefix.trim_end_matches('/'));
         Self {
@@ -71,19 +71,19 @@
     }
 }
 
-/// Keys set and removed together, where all guards hold.
+/// Transaction that sets and deletes keys atomically if all guards match.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Change {
-    /// Conditions.
+    /// Preconditions.
     pub guards: Vec<Guard>,
-    /// Keys to be set.
+    /// Keys to set.
     pub puts: Vec<Put>,
-    /// Keys to be removed.
+    /// Keys to delete.
     pub removals: Vec<Range>,
 }
 
 impl Change {
-    /// Adds a condition.
+    /// Adds a precondition.
     #[must_use]
     pub fn guard(mut self, key: &str, changed: u64) -> Self {
         self.guards.push(Guard {
@@ -93,7 +93,7 @@
         self
     }
 
-    /// Adds a key to be set.
+    /// Adds a key to set.
     #[must_use]
     pub fn put(mut self, key: &str, value: Vec<u8>) -> Self {
         self.puts.push(Put {
@@ -104,7 +104,7 @@
         self
     }
 
-    /// Adds a key to be set for as long as a lease holds.
+    /// Adds a key to set that is deleted when the lease expires.
     #[must_use]
     pub fn put_leased(mut self, key: &str, value: Vec<u8>, lease: u64) -> Self {
         self.puts.push(Put {
@@ -115,7 +115,7 @@
         self
     }
 
-    /// Adds keys to be removed.
+    /// Adds keys to delete.
     #[must_use]
     pub fn remove(mut self, range: Range) -> Self {
         self.removals.push(range);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Client of the service.
+/// Client of the key-value service.
 #[derive(Clone)]
 pub struct Client {
     http: Http,
@@ -132,7 +132,7 @@
 }
 
 #[derive(Deserialize)]
-struct RangeAnswer {
+struct RangeResponse {
     #[serde(default)]
     kvs: Vec<KeyValue>,
 }
@@ -147,13 +147,13 @@
 }
 
 #[derive(Deserialize)]
-struct TxnAnswer {
+struct TransactionResponse {
     #[serde(default)]
     succeeded: bool,
 }
 
 #[derive(Deserialize)]
-struct LeaseAnswer {
+struct LeaseResponse {
     #[serde(rename = "ID", default)]
     id: String,
     #[serde(rename = "TTL", default)]
@@ -161,16 +161,16 @@
 }
 
 #[derive(Deserialize)]
-struct KeepAnswer {
-    result: LeaseAnswer,
+struct KeepAliveResponse {
+    result: LeaseResponse,
 }
 
-fn to_text(bytes: &[u8]) -> String {
+fn to_base64(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
 impl Client {
-    /// Client of the service at `url`, whose calls wait `patience` for an answer.
+    /// Client of the service at `url`; `patience` is the timeout of a call.
     pub const fn new(http: Http, url: String, patience: Duration) -> Self {
         Self {
             http,
@@ -201,41 +201,42 @@
     ///
     /// # Errors
     ///
-    /// Where the service does not answer.
+    /// Returns an error if the service does not respond or refuses the call.
     pub async fn get(&self, key: &str, now: Instant) -> Result<Option<Item>, Error> {
         let items = self
-            .read(json!({ "key": to_text(key.as_bytes()) }), now)
+            .fetch(json!({ "key": to_base64(key.as_bytes()) }), now)
             .await?;
         Ok(items.into_iter().next())
     }
 
-    /// Reads keys in their order.
+    /// Reads a range of keys, in key order.
     ///
     /// # Errors
     ///
-    /// Where the service does not answer.
+    /// Returns an error if the service does not respond or refuses the call.
     pub async fn range(&self, range: &Range, now: Instant) -> Result<Vec<Item>, Error> {
         let Range { first, end } = range;
         let body =
-            json!({ "key": to_text(first.as_bytes()), "range_end": to_text(end.as_bytes()) });
-        self.read(body, now).await
+            json!({ "key": to_base64(first.as_bytes()), "range_end": to_base64(end.as_bytes()) });
+        self.fetch(body, now).await
     }
 
-    async fn read(&self, body: Value, now: Instant) -> Result<Vec<Item>, Error> {
+    async fn fetch(&self, body: Value, now: Instant) -> Result<Vec<Item>, Error> {
         let url = format!("{}/v3/kv/range", self.url);
         let call = self.call(Step::ReadKey, &url, now);
-        let mut answer = self.post(call, &body).await?;
-        let read: RangeAnswer = call.json(&mut answer).await?;
-        let items = read.kvs.into_iter().map(item);
+        let mut response = self.post(call, &body).await?;
+        let decoded: RangeResponse = call.json(&mut response).await?;
+        let items = decoded.kvs.into_iter().map(to_item);
         let items: Option<Vec<Item>> = items.collect();
-        items.ok_or_else(|| call.error(Fault::Unreadable("a key is no text".to_owned())))
+        items.ok_or_else(|| call.error(Fault::Unreadable("item is malformed".to_owned())))
     }
 
-    /// Changes keys; false where a guard did not hold.
+    /// Commits a change; returns false if a guard did not match.
     ///
     /// # Errors
     ///
-    /// Where the service does not answer; [`Error::had_no_effect`] tells what that means.
+    /// Returns an error if the service does not respond or refuses the call; [`Error::had_no_effect`] tells whether
+    /// the change may have taken effect.
     pub async fn commit(&self, change: &Change, now: Instant) -> Result<bool, Error> {
         let url = format!("{}/v3/kv/txn", self.url);
         let call = self.call(Step::WriteKeys, &url, now);
@@ -244,76 +245,78 @@
             .iter()
             .find(|put| put.value.len() > MAX_VALUE_BYTES)
         {
-            let what = format!("the value of {} has {} bytes", put.key, put.value.len());
-            return Err(call.error(Fault::Refused(what)));
+            let cause = format!("the value of {} has {} bytes", put.key, put.value.len());
+            return Err(call.error(Fault::Refused(cause)));
         }
-        let mut answer = self.post(call, &transaction(change)).await?;
-        let read: TxnAnswer = call.json(&mut answer).await?;
-        Ok(read.succeeded)
+        let mut response = self.post(call, &transaction(change)).await?;
+        let decoded: TransactionResponse = call.json(&mut response).await?;
+        Ok(decoded.succeeded)
     }
 
-    /// Gets a lease of `seconds`.
+    /// Creates a lease that expires after `seconds` unless it is renewed.
     ///
     /// # Errors
     ///
-    /// Where the service does not answer.
+    /// Returns an error if the service does not respond or refuses the call.
     pub async fn grant_lease(&self, seconds: u64, now: Instant) -> Result<u64, Error> {
         let url = format!("{}/v3/lease/grant", self.url);
         let call = self.call(Step::Lease, &url, now);
         let body = json!({ "TTL": seconds.to_string(), "ID": "0" });
-        let mut answer = self.post(call, &body).await?;
-        let read: LeaseAnswer = call.json(&mut answer).await?;
-        read.id
+        let mut response = self.post(call, &body).await?;
+        let decoded: LeaseResponse = call.json(&mut response).await?;
+        decoded
+            .id
             .parse()
             .map_err(|_| call.error(Fault::Unreadable("the lease has no ID".to_owned())))
     }
 
-    /// Holds a lease for longer; false where it has lapsed.
+    /// Renews a lease; returns false if it has expired.
     ///
     /// # Errors
     ///
-    /// Where the service does not answer.
+    /// Returns an error if the service does not respond or refuses the call.
     pub async fn keep_lease(&self, lease: u64, now: Instant) -> Result<bool, Error> {
         let url = format!("{}/v3/lease/keepalive", self.url);
         let call = self.call(Step::Lease, &url, now);
-        let mut answer = self.post(call, &json!({ "ID": lease.to_string() })).await?;
-        let read: KeepAnswer = call.json(&mut answer).await?;
-        Ok(read.result.ttl.parse::<u64>().unwrap_or(0) > 0)
+        let mut response = self.post(call, &json!({ "ID": lease.to_string() })).await?;
+        let decoded: KeepAliveResponse = call.json(&mut response).await?;
+        Ok(decoded.result.ttl.parse::<u64>().unwrap_or(0) > 0)
     }
 
-    /// Watches one key, from the service's revision `from` on.
+    /// Watches one key, starting at the store revision `from`.
     ///
     /// # Errors
     ///
-    /// Where the service does not answer.
+    /// Returns an error if the service does not respond or refuses the call.
     pub async fn watch(&self, key: &str, from: u64, now: Instant) -> Result<Watch, Error> {
         let url = format!("{}/v3/watch", self.url);
         let call = self.call(Step::Watch, &url, now);
-        let create = json!({ "key": to_text(key.as_bytes()), "start_revision": from.to_string() });
-        let answer = self
+        let create =
+            json!({ "key": to_base64(key.as_bytes()), "start_revision": from.to_string() });
+        let response = self
             .post(call, &json!({ "create_request": create }))
             .await?;
         Ok(Watch {
-            answer,
+            response,
             url,
-            read: BytesMut::new(),
+            unparsed: BytesMut::new(),
         })
     }
 }
 
-fn item(read: KeyValue) -> Option<Item> {
-    let key = BASE64_STANDARD.decode(read.key).ok()?;
+fn to_item(pair: KeyValue) -> Option<Item> {
+    let key = BASE64_STANDARD.decode(pair.key).ok()?;
     Some(Item {
         key: String::from_utf8(key).ok()?,
-        value: BASE64_STANDARD.decode(read.value).ok()?,
-        changed: read.mod_revision.parse().ok()?,
+        value: BASE64_STANDARD.decode(pair.value).ok()?,
+        changed: pair.mod_revision.parse().ok()?,
     })
 }
 
 fn transaction(change: &Change) -> Value {
     let compare = |guard: &Guard| {
         json!({
-            "key": to_text(guard.key.as_bytes()),
+            "key": to_base64(guard.key.as_bytes()),
             "target": "MOD",
             "result": "EQUAL",
             "mod_revision": guard.changed.to_string(),
@@ -321,13 +324,13 @@
     };
     let put = |put: &Put| {
         let lease = put.lease.unwrap_or(0).to_string();
-        let (key, value) = (to_text(put.key.as_bytes()), to_text(&put.value));
+        let (key, value) = (to_base64(put.key.as_bytes()), to_base64(&put.value));
         json!({ "request_put": { "key": key, "value": value, "lease": lease } })
     };
     let remove = |range: &Range| {
         let (first, end) = (
-            to_text(range.first.as_bytes()),
-            to_text(range.end.as_bytes()),
+            to_base64(range.first.as_bytes()),
+            to_base64(range.end.as_bytes()),
         );
         json!({ "request_delete_range": { "key": first, "range_end": end } })
     };
@@ -337,19 +340,19 @@
     json!({ "compare": compare, "success": success, "failure": [] })
 }
 
-/// A watch that waits for changes.
+/// Watch on one key.
 pub struct Watch {
-    answer: ClientResponse,
+    response: ClientResponse,
     url: String,
-    read: BytesMut,
+    unparsed: BytesMut,
 }
 
 impl Watch {
-    /// Waits for the next change, `patience` at most; false where there was none.
+    /// Waits for the next change for at most `patience`; returns false on timeout.
     ///
     /// # Errors
     ///
-    /// Where the watch broke off.
+    /// Returns an error if the connection is lost.
     pub async fn changed(&mut self, patience: Duration, now: Instant) -> Result<bool, Error> {
         let call = Call {
             step: Step::Watch,
@@ -358,11 +361,11 @@
             patience,
         };
         loop {
-            if let Some(end) = self.read.iter().position(|byte| *byte == b'\n') {
-                let line = self.read.split_to(end + 1);
-                let read: Value = serde_json::from_slice(&line)
+            if let Some(end) = self.unparsed.iter().position(|byte| *byte == b'\n') {
+                let line = self.unparsed.split_to(end + 1);
+                let message: Value = serde_json::from_slice(&line)
                     .map_err(|error| call.error(Fault::Unreadable(error.to_string())))?;
-                if read["result"]["events"]
+                if message["result"]["events"]
                     .as_array()
                     .is_some_and(|events| !events.is_empty())
                 {
@@ -370,15 +373,15 @@
                 }
                 continue;
             }
-            match call.part(&mut self.answer).await {
-                Ok(Some(part)) => self.read.extend_from_slice(&part),
+            match call.part(&mut self.response).await {
+                Ok(Some(part)) => self.unparsed.extend_from_slice(&part),
                 Ok(None) => {
                     return Err(call.error(Fault::Unanswered("the watch ended".to_owned())));
                 }
                 Err(Error {
-                    fault: Fault::Unanswered(what),
+                    fault: Fault::Unanswered(cause),
                     ..
-                }) if what.contains("stalled") => {
+                }) if cause.contains("stalled") => {
                     return Ok(false);
                 }
                 Err(error) => return Err(error),
--- a/crates/gingerpier_services/src/lib.rs
+++ b/crates/gingerpier_services/src/lib.rs
@@ -1,8 +1,7 @@
-//! Edges to the platform: key-value service, weight sources, box list, engines.
+//! Clients of the platform's services: key-value service, weight sources, box list, engines.
 //!
-//! Each module speaks one published protocol and turns its answers into types of this crate; a
-//! different protocol is a change of one module. Nothing here decides anything. The protocols are
-//! written down in `docs/INTERFACES.md`.
+//! Each module implements one protocol and converts its responses to types of this crate. The
+//! protocols are specified in `docs/INTERFACES.md`.
 //!
 //! ```
 //! use gingerpier_services::key_value::Change;
--- a/crates/gingerpier_services/src/weight_source.rs
+++ b/crates/gingerpier_services/src/weight_source.rs
@@ -1,6 +1,6 @@
-//! Sources of weights: the origin, and the rate-limited weight store.
+//! Client of the sources of weights: the origin, and the rate-limited weight store.
 //!
-//! Both serve files over HTTP with byte ranges; a busy one answers 429 or 503 with `Retry-After`.
+//! Both serve byte ranges over HTTP; a busy source responds with 429 or 503 and `Retry-After`.
 
 use {
     crate::{
@@ -26,7 +26,7 @@
 }
 
 impl Client {
-    /// Client of the source at `url`; `patience` is for each part of an answer.
+    /// Client of the source at `url`; `patience` is the timeout of each part of a response.
     pub const fn new(http: Http, url: String, patience: Duration) -> Self {
         Self {
             http,
@@ -35,11 +35,11 @@
         }
     }
 
-    /// Reads and checks the manifest in `folder`; its bytes are given too, for peers.
+    /// Fetches and verifies the manifest in `folder`; returns its bytes as well, for peers.
     ///
     /// # Errors
     ///
-    /// Where the source does not give it, or it is another one.
+    /// Returns an error if the manifest cannot be fetched or does not match `digest`.
     pub async fn manifest(
         &self,
         folder: &str,
@@ -53,25 +53,25 @@
             now,
             patience: self.patience,
         };
-        let mut answer = call.answer(self.http.get(&url).send()).await?;
-        let bytes = call.body(&mut answer).await?;
+        let mut response = call.answer(self.http.get(&url).send()).await?;
+        let bytes = call.body(&mut response).await?;
         let read = Manifest::from_bytes(&bytes, digest);
         let read = read.map_err(|error| call.error(Fault::Unreadable(error.to_string())))?;
         Ok((read, bytes))
     }
 
-    /// Reads `span` of `file` in `folder`, and hands over each part as it comes.
+    /// Fetches `span` of `file` in `folder`; calls `on_part` with each part as it arrives.
     ///
     /// # Errors
     ///
-    /// Where the source does not give all of it.
+    /// Returns an error if the source does not deliver all bytes.
     pub async fn read<F>(
         &self,
         folder: &str,
         file: &File,
         span: Span,
         now: Instant,
-        take: &mut F,
+        on_part: &mut F,
     ) -> Result<(), Error>
     where
         F: AsyncFnMut(Bytes),
@@ -84,29 +84,32 @@
             patience: self.patience,
         };
         let last = span.offset + span.length - 1;
-        let asked = self.http.get(&url);
-        let asked = asked.insert_header((header::RANGE, format!("bytes={}-{last}", span.offset)));
-        let mut answer = call.answer(asked.send()).await?;
-        if answer.status() != StatusCode::PARTIAL_CONTENT {
-            return Err(call.error(Fault::Refused("it does not serve byte ranges".to_owned())));
+        let request = self.http.get(&url);
+        let request =
+            request.insert_header((header::RANGE, format!("bytes={}-{last}", span.offset)));
+        let mut response = call.answer(request.send()).await?;
+        if response.status() != StatusCode::PARTIAL_CONTENT {
+            return Err(call.error(Fault::Refused(
+                "source does not support byte ranges".to_owned(),
+            )));
         }
-        let mut left = span.length;
-        while let Some(part) = call.part(&mut answer).await? {
-            let length = (part.len() as u64).min(left) as usize;
-            left -= length as u64;
-            take(part.slice(..length)).await;
+        let mut bytes_left = span.length;
+        while let Some(part) = call.part(&mut response).await? {
+            let length = (part.len() as u64).min(bytes_left) as usize;
+            bytes_left -= length as u64;
+            on_part(part.slice(..length)).await;
         }
-        if left > 0 {
-            return Err(call.error(Fault::Unanswered(format!("{left} bytes are missing"))));
+        if bytes_left > 0 {
+            return Err(call.error(Fault::Unanswered(format!("{bytes_left} bytes are missing"))));
         }
         Ok(())
     }
 
-    /// Reads a chunk from byte `offset` on, and hands over each part as it comes.
+    /// Fetches a chunk, starting at byte `offset`; calls `on_part` with each part as it arrives.
     ///
     /// # Errors
     ///
-    /// Where the source does not give all of it.
+    /// Returns an error if the source does not deliver all bytes.
     pub async fn chunk<F>(
         &self,
         folder: &str,
@@ -114,19 +117,19 @@
         index: u32,
         offset: u32,
         now: Instant,
-        mut take: F,
+        mut on_part: F,
     ) -> Result<(), Error>
     where
         F: AsyncFnMut(Bytes),
     {
-        let mut skipped = u64::from(offset);
+        let mut bytes_to_skip = u64::from(offset);
         for mut span in manifest.spans(index) {
-            let skip = skipped.min(span.length);
-            skipped -= skip;
+            let skip = bytes_to_skip.min(span.length);
+            bytes_to_skip -= skip;
             span.offset += skip;
             span.length -= skip;
             if span.length > 0 {
-                self.read(folder, &manifest.files[span.file], span, now, &mut take)
+                self.read(folder, &manifest.files[span.file], span, now, &mut on_part)
                     .await?;
             }
         }
