--- a/crates/gingerpier_fleet/src/caller.rs
+++ b/crates/gingerpier_fleet/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller, as a client account's program would be one.
+//! HTTP client that acts as the program of a client account.
 
 use {
     crate::error::Error,
@@ -9,10 +9,10 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Time for an answer's head, and for each of its parts.
-const PATIENCE: Duration = Duration::from_secs(70);
+/// Timeout of the response head, and of each part of the body.
+const READ_TIMEOUT: Duration = Duration::from_secs(70);
 
-/// A caller of one entry box.
+/// Client of one entry box.
 #[derive(Clone)]
 pub struct Caller {
     http: Client,
@@ -21,25 +21,25 @@
     token: String,
 }
 
-/// An answer as the caller got it.
+/// Response as received by the caller.
 #[derive(Debug, Clone, Default)]
-pub struct Answer {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// `gingerpier-outcome`, where there is one.
+    /// Header `gingerpier-outcome`, if present.
     pub outcome: Option<String>,
-    /// `gingerpier-version`, where there is one.
+    /// Header `gingerpier-version`, if present.
     pub version: Option<String>,
-    /// `gingerpier-retry-after-millis`, where there is one.
-    pub come_back_millis: Option<u64>,
-    /// Body, as far as it came.
+    /// Header `gingerpier-retry-after-millis`, if present.
+    pub retry_after_millis: Option<u64>,
+    /// Body, or the part received before an interruption.
     pub body: String,
-    /// True where the body came to its end.
-    pub whole: bool,
+    /// True if the body is complete.
+    pub is_complete: bool,
 }
 
-impl Answer {
-    /// Texts of the tokens of an event stream, and whether its last event says that it is done.
+impl Response {
+    /// Token texts of an event stream, and whether its last event is `[DONE]`.
     pub fn tokens(&self) -> (Vec<String>, bool) {
         let events = self
             .body
@@ -57,17 +57,17 @@
     }
 }
 
-/// A call.
+/// HTTP request to an entry box.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct RequestSpec {
     method: Method,
     path: String,
     headers: Vec<(String, String)>,
     body: Vec<u8>,
 }
 
-impl Call {
-    /// Call of a model.
+impl RequestSpec {
+    /// Completion request for a model; `tokens` is the maximum number of tokens.
     pub fn model(model: &str, prompt: &str, tokens: u64) -> Self {
         let body = serde_json::json!({
             "model": model, "prompt": prompt, "max_tokens": tokens, "stream": true,
@@ -79,7 +79,7 @@
         )
     }
 
-    /// Call of any path.
+    /// Request to any path.
     pub fn new(method: Method, path: &str, body: Vec<u8>) -> Self {
         Self {
             method,
@@ -96,7 +96,7 @@
         self
     }
 
-    /// Says that the request may run at most once, under a ticket.
+    /// Marks the request as not repeatable, with a ticket as its idempotency key.
     #[must_use]
     pub fn once(self, ticket: &str) -> Self {
         self.header("gingerpier-repeatable", "no")
@@ -105,7 +105,7 @@
 }
 
 impl Caller {
-    /// Caller of `entry`, with a client account's token.
+    /// Client of `entry` with a client account's bearer token.
     pub fn new(entry: SocketAddr, token: &str) -> Self {
         Self {
             http: Client::default(),
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The same caller at another entry box.
+    /// Client of another entry box with the same account.
     #[must_use]
     pub fn at(&self, entry: SocketAddr) -> Self {
         Self {
@@ -123,64 +123,64 @@
         }
     }
 
-    /// Makes a call, and reads the answer to its end or to where it broke off.
+    /// Sends a request and reads the response to its end or to an interruption.
     ///
     /// # Errors
     ///
-    /// Where there was no answer at all.
-    pub async fn call(&self, call: Call) -> Result<Answer, Error> {
-        let url = format!("http://{}{}", self.entry, call.path);
-        let wrong = |what: String| Error::new("calling", &url, what);
-        let mut request = Request::builder()
-            .method(call.method)
+    /// Returns an error if no response head arrives.
+    pub async fn send(&self, request: RequestSpec) -> Result<Response, Error> {
+        let url = format!("http://{}{}", self.entry, request.path);
+        let call_error = |cause: String| Error::new("calling", &url, cause);
+        let mut builder = Request::builder()
+            .method(request.method)
             .uri(&url)
             .header("authorization", format!("Bearer {}", self.token));
-        for (name, value) in &call.headers {
-            request = request.header(name, value);
+        for (name, value) in &request.headers {
+            builder = builder.header(name, value);
         }
-        if !call.body.is_empty() {
-            request = request.header("content-type", "application/json");
+        if !request.body.is_empty() {
+            builder = builder.header("content-type", "application/json");
         }
-        let request = request.body(Full::new(Bytes::from(call.body)));
-        let request = request.map_err(|what| wrong(what.to_string()))?;
-        let sent = self.http.send(request, PATIENCE).await;
-        let mut answer = sent.map_err(|what| wrong(what.to_string()))?;
-        let header = |name: &str| answer.header(name).map(str::to_owned);
-        let mut got = Answer {
-            status: answer.status.as_u16(),
+        let built = builder.body(Full::new(Bytes::from(request.body)));
+        let built = built.map_err(|cause| call_error(cause.to_string()))?;
+        let sent = self.http.send(built, READ_TIMEOUT).await;
+        let mut incoming = sent.map_err(|cause| call_error(cause.to_string()))?;
+        let header = |name: &str| incoming.header(name).map(str::to_owned);
+        let mut received = Response {
+            status: incoming.status.as_u16(),
             outcome: header("gingerpier-outcome"),
             version: header("gingerpier-version"),
-            come_back_millis: header("gingerpier-retry-after-millis")
+            retry_after_millis: header("gingerpier-retry-after-millis")
                 .and_then(|text| text.parse().ok()),
-            ..Answer::default()
+            ..Response::default()
         };
         let mut body = Vec::new();
         loop {
-            match actix_rt::time::timeout(PATIENCE, answer.part()).await {
+            match actix_rt::time::timeout(READ_TIMEOUT, incoming.part()).await {
                 Ok(Ok(Some(part))) => body.extend_from_slice(&part),
                 Ok(Ok(None)) => {
-                    got.whole = true;
+                    received.is_complete = true;
                     break;
                 }
                 Ok(Err(_)) | Err(_) => break,
             }
         }
-        got.body = String::from_utf8_lossy(&body).into_owned();
-        Ok(got)
+        received.body = String::from_utf8_lossy(&body).into_owned();
+        Ok(received)
     }
 
-    /// Gets a ticket.
+    /// Requests a ticket.
     ///
     /// # Errors
     ///
-    /// Where none is given.
+    /// Returns an error if the response contains no ticket.
     pub async fn ticket(&self) -> Result<String, Error> {
-        let answer = self
-            .call(Call::new(Method::POST, "/v1/tickets", Vec::new()))
+        let response = self
+            .send(RequestSpec::new(Method::POST, "/v1/tickets", Vec::new()))
             .await?;
-        let read: serde_json::Value = serde_json::from_str(&answer.body)
-            .map_err(|what| Error::new("reading a ticket", self.entry, what))?;
-        let ticket = read["tickets"][0].as_str().map(str::to_owned);
-        ticket.ok_or_else(|| Error::new("reading a ticket", self.entry, answer.body))
+        let parsed: serde_json::Value = serde_json::from_str(&response.body)
+            .map_err(|cause| Error::new("reading a ticket", self.entry, cause))?;
+        let ticket = parsed["tickets"][0].as_str().map(str::to_owned);
+        ticket.ok_or_else(|| Error::new("reading a ticket", self.entry, response.body))
     }
 }
--- a/crates/gingerpier_fleet/src/child.rs
+++ b/crates/gingerpier_fleet/src/child.rs
@@ -1,4 +1,4 @@
-//! A process that was started here, and is ended here.
+//! Child processes of a fleet, which are killed on drop.
 
 use {
     crate::error::Error,
@@ -16,19 +16,19 @@
     },
 };
 
-/// Time for a process to say that it is ready.
-const READY_PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for the `ready` line of a process.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A process.
+/// A running child process.
 pub struct Child {
     name: String,
     inner: std::process::Child,
-    ready: BTreeMap<String, SocketAddr>,
+    addresses: BTreeMap<String, SocketAddr>,
     ended: Option<ExitStatus>,
 }
 
-/// Folder of the binaries beside the one that runs.
-fn binaries() -> PathBuf {
+/// Folder with the binary_folder of the current build.
+fn binary_folder() -> PathBuf {
     let mut folder = env::current_exe().unwrap_or_default();
     folder.pop();
     if folder.ends_with("deps") || folder.ends_with("examples") {
@@ -37,13 +37,13 @@
     folder
 }
 
-/// Path of a binary of this workspace.
+/// Path of a binary of the workspace.
 ///
 /// # Errors
 ///
-/// Where it was not built.
+/// Returns an error if the binary has not been built.
 pub fn binary(name: &str) -> Result<PathBuf, Error> {
-    let path = binaries().join(name);
+    let path = binary_folder().join(name);
     if path.exists() {
         return Ok(path);
     }
@@ -54,7 +54,7 @@
     ))
 }
 
-fn addresses(line: &str) -> Option<BTreeMap<String, SocketAddr>> {
+fn parse_ready_line(line: &str) -> Option<BTreeMap<String, SocketAddr>> {
     let pairs = line.strip_prefix("ready ")?.split_whitespace();
     pairs
         .map(|pair| {
@@ -65,92 +65,92 @@
 }
 
 impl Child {
-    /// Starts `program` and waits until it is ready; its log goes to `log`.
+    /// Starts `program` and waits until it is ready; its standard error is appended to `log`.
     ///
     /// # Errors
     ///
-    /// Where it can't be started, or ends instead.
+    /// Returns an error if the process cannot be started, exits, or is not ready in time.
     pub fn start(
         name: &str,
         program: &str,
         arguments: &[String],
         log: &Path,
     ) -> Result<Self, Error> {
-        let wrong = |what: String| Error::new("starting", name, what);
+        let start_error = |cause: String| Error::new("starting", name, cause);
         let log = File::options().create(true).append(true).open(log);
-        let log = log.map_err(|what| wrong(what.to_string()))?;
+        let log = log.map_err(|cause| start_error(cause.to_string()))?;
         let mut inner = Command::new(binary(program)?)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()
-            .map_err(|what| wrong(what.to_string()))?;
+            .map_err(|cause| start_error(cause.to_string()))?;
         let output = inner
             .stdout
             .take()
-            .ok_or_else(|| wrong("no output".to_owned()))?;
+            .ok_or_else(|| start_error("standard output is not captured".to_owned()))?;
         let (sender, lines) = mpsc::channel();
         thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                // Nobody listens once the process is ready.
+                // The receiver is dropped once the process is ready.
                 let _ = sender.send(line);
             }
         });
         let mut child = Self {
             name: name.to_owned(),
             inner,
-            ready: BTreeMap::new(),
+            addresses: BTreeMap::new(),
             ended: None,
         };
-        let line = lines
-            .recv_timeout(READY_PATIENCE)
-            .map_err(|_| wrong("it ended, or said nothing; see its log".to_owned()))?;
-        child.ready = addresses(&line).ok_or_else(|| wrong(line))?;
+        let line = lines.recv_timeout(READY_TIMEOUT).map_err(|_| {
+            start_error("process exited or was not ready in time; see its log".to_owned())
+        })?;
+        child.addresses = parse_ready_line(&line).ok_or_else(|| start_error(line))?;
         Ok(child)
     }
 
-    /// Its name.
+    /// Name of the process in the fleet.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Address that it listens on for `what`.
+    /// Address on which the process listens for `listener`, from its `ready` line.
     ///
     /// # Panics
     ///
-    /// Where it did not say that it listens for that.
-    pub fn address(&self, what: &str) -> SocketAddr {
-        self.ready[what]
+    /// Panics if the `ready` line has no such address.
+    pub fn address(&self, listener: &str) -> SocketAddr {
+        self.addresses[listener]
     }
 
-    /// Id of the process.
+    /// Process ID.
     pub fn id(&self) -> u32 {
         self.inner.id()
     }
 
-    /// Kills it at once.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.inner.kill();
         let _ = self.inner.wait();
     }
 
-    /// Freezes it.
+    /// Suspends the process (SIGSTOP).
     pub fn freeze(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets it go on.
+    /// Continues the suspended process (SIGCONT).
     pub fn thaw(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Asks it to stop.
+    /// Requests termination (SIGTERM).
     pub fn terminate(&self) {
         self.signal(libc::SIGTERM);
     }
 
-    /// Exit status, once it has ended.
+    /// Exit status, or none while the process runs.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         if self.ended.is_none() {
             self.ended = self.inner.try_wait().ok().flatten();
@@ -160,8 +160,7 @@
 
     #[expect(unsafe_code, reason = "signals are sent by the system's own call")]
     fn signal(&self, signal: libc::c_int) {
-        // SAFETY: The call takes numbers only. The process was started here and not yet waited
-        // for, so its id is its own.
+        // SAFETY: `kill` takes no pointers.
         unsafe { libc::kill(self.inner.id() as libc::pid_t, signal) };
     }
 }
--- a/crates/gingerpier_fleet/src/error.rs
+++ b/crates/gingerpier_fleet/src/error.rs
@@ -1,26 +1,26 @@
-//! What goes wrong when a fleet is started or asked.
+//! Errors of the test harness.
 
 use displaydoc::Display;
 
-/// A failure of the harness, not of what it tests.
+/// Error of the harness, or a condition that was not met in time.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// {step}, {peer}: {what}
+    /// {step}, {peer}: {cause}
     Step {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
-        /// With which process, file or URL.
+        /// Process, file or URL.
         peer: String,
-        /// What happened.
-        what: String,
+        /// Cause.
+        cause: String,
     },
-    /// `{what}` did not come about in {seconds} s; last seen: {last}
-    Late {
-        /// What was waited for.
-        what: String,
-        /// Seconds waited.
+    /// timed out after {seconds} s waiting until {condition}; last state: {last}
+    Timeout {
+        /// Awaited condition.
+        condition: String,
+        /// Timeout, in seconds.
         seconds: u64,
-        /// What was seen last.
+        /// Last observed state.
         last: String,
     },
 }
@@ -28,12 +28,12 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// Failure of a step.
-    pub fn new(step: &'static str, peer: impl ToString, what: impl ToString) -> Self {
+    /// Creates an error of an operation.
+    pub fn new(step: &'static str, peer: impl ToString, cause: impl ToString) -> Self {
         Self::Step {
             step,
             peer: peer.to_string(),
-            what: what.to_string(),
+            cause: cause.to_string(),
         }
     }
 }
--- a/crates/gingerpier_fleet/src/fleet.rs
+++ b/crates/gingerpier_fleet/src/fleet.rs
@@ -29,28 +29,28 @@
     tokio::process::Command,
 };
 
-/// Environment variable under which a fleet's folder, logs among it, is kept.
+/// Environment variable that keeps the folder of a fleet, including its logs, after a test.
 const KEEP_VARIABLE: &str = "GINGERPIER_KEEP";
-/// Time for anything that is waited for.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
-/// Token of the client account that [`Fleet::deploy`] makes.
+/// Timeout of [`Fleet::until`].
+const UNTIL_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which [`Fleet::until`] checks its condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Bearer token of the client account that [`Fleet::deploy`] creates.
 pub const TOKEN: &str = "observatory-token";
 /// Kind of the model engines.
 pub const KIND: &str = "lm";
 
-/// A backend server with what stands behind it.
+/// A backend server with its engines and services.
 pub struct Server {
-    /// Its name.
+    /// Name of the box.
     pub name: String,
-    /// Its process.
+    /// Process of the box.
     pub child: Child,
-    /// Its model engines.
+    /// Processes of its model engines; empty if they run in the harness.
     pub engines: Vec<Child>,
-    /// Its plain services.
+    /// Processes of its plain services.
     pub services: Vec<Child>,
-    /// Link through which it is reached.
+    /// Process of the link to the server, if [`Spec::links`] is set.
     pub link: Option<Child>,
     zone: Zone,
     settings: PathBuf,
@@ -58,18 +58,18 @@
 
 /// An entry box.
 pub struct EntryBox {
-    /// Its name.
+    /// Name of the box.
     pub name: String,
-    /// Its process.
+    /// Process of the box.
     pub child: Child,
     zone: Zone,
 }
 
-/// A fleet.
+/// A running fleet.
 pub struct Fleet {
     /// Folder of settings, keys, logs and weights.
     pub folder: PathBuf,
-    /// What it consists of.
+    /// Specification of the fleet.
     pub spec: Spec,
     /// Key-value service.
     pub key_value: Child,
@@ -95,7 +95,7 @@
     }
 }
 
-fn strings(arguments: &[&str]) -> Vec<String> {
+fn to_strings(arguments: &[&str]) -> Vec<String> {
     arguments
         .iter()
         .map(|argument| (*argument).to_owned())
@@ -103,47 +103,48 @@
 }
 
 impl Fleet {
-    /// Starts a fleet in a new folder, and waits until its entry boxes see every server.
+    /// Starts a fleet in a new temporary folder and waits until all boxes are alive.
     ///
     /// # Errors
     ///
-    /// Where a process does not start.
+    /// Returns an error if a process does not start or a box does not become alive.
     pub async fn start(spec: Spec) -> Result<Self, Error> {
         let name = format!("gingerpier-{:016x}", fastrand::u64(..));
         let keep = env::var_os(KEEP_VARIABLE).is_some();
         Self::start_in(env::temp_dir().join(name), spec, keep).await
     }
 
-    /// Starts a fleet in `folder`, which is kept where asked for.
+    /// Starts a fleet in `folder`; `keep` leaves the folder in place afterwards.
     ///
     /// # Errors
     ///
-    /// Where a process does not start.
+    /// Returns an error if a process does not start or a box does not become alive.
     pub async fn start_in(folder: PathBuf, spec: Spec, keep: bool) -> Result<Self, Error> {
         for part in ["logs", "settings", "weights"] {
             let path = folder.join(part);
-            fs::create_dir_all(&path).map_err(|what| Error::new("making", path.display(), what))?;
+            fs::create_dir_all(&path)
+                .map_err(|cause| Error::new("making", path.display(), cause))?;
         }
-        let standin = |name: &str, arguments: &[&str]| {
+        let start_standin = |name: &str, arguments: &[&str]| {
             let log = folder.join("logs").join(format!("{name}.log"));
-            Child::start(name, "gingerpier-standin", &strings(arguments), &log)
+            Child::start(name, "gingerpier-standin", &to_strings(arguments), &log)
         };
         let root = folder.join("weights").display().to_string();
         let rate = spec.origin_rate.to_string();
         let lag = spec.list_lag_millis.to_string();
         let authority = Authority::open_or_create(&folder.join("keys"));
         let mut fleet = Self {
-            key_value: standin("key-value", &["key-value"])?,
-            origin: standin(
+            key_value: start_standin("key-value", &["key-value"])?,
+            origin: start_standin(
                 "origin",
                 &["origin", "--root", &root, "--bytes-a-second", &rate],
             )?,
-            box_list: standin("box-list", &["box-list", "--lag-millis", &lag])?,
+            box_list: start_standin("box-list", &["box-list", "--lag-millis", &lag])?,
             entries: Vec::new(),
             servers: Vec::new(),
             leaving: RefCell::default(),
             http: Client::builder().disable_timeout().finish(),
-            authority: authority.map_err(|what| Error::new("making keys", "authority", what))?,
+            authority: authority.map_err(|cause| Error::new("making keys", "authority", cause))?,
             keep,
             folder: folder.clone(),
             spec,
@@ -171,43 +172,43 @@
         Ok(fleet)
     }
 
-    fn child(&self, name: &str, program: &str, arguments: &[&str]) -> Result<Child, Error> {
+    fn start_child(&self, name: &str, program: &str, arguments: &[&str]) -> Result<Child, Error> {
         let log = self.folder.join("logs").join(format!("{name}.log"));
-        Child::start(name, program, &strings(arguments), &log)
+        Child::start(name, program, &to_strings(arguments), &log)
     }
 
-    fn keys(&self, role: Role, name: &str) -> Result<PathBuf, Error> {
+    fn issue_keys(&self, role: Role, name: &str) -> Result<PathBuf, Error> {
         let folder = self.folder.join("keys").join(role.as_str()).join(name);
-        let wrong = |what: String| Error::new("making keys", name, what);
+        let to_error = |cause: String| Error::new("making keys", name, cause);
         let parsed: Name = name
             .parse()
-            .map_err(|what: gingerpier_base::name::Error| wrong(what.to_string()))?;
+            .map_err(|cause: gingerpier_base::name::Error| to_error(cause.to_string()))?;
         let identity = Identity { role, name: parsed };
         self.authority
             .issue(&identity, &folder)
-            .map_err(|what| wrong(what.to_string()))?;
+            .map_err(|cause| to_error(cause.to_string()))?;
         Ok(folder)
     }
 
     fn write_settings(&self, name: &str, text: &str) -> Result<PathBuf, Error> {
         let path = self.folder.join("settings").join(format!("{name}.yaml"));
-        fs::write(&path, text).map_err(|what| Error::new("writing", path.display(), what))?;
+        fs::write(&path, text).map_err(|cause| Error::new("writing", path.display(), cause))?;
         Ok(path)
     }
 
-    fn daemon(&self, name: &str, settings: &Path) -> Result<Child, Error> {
+    fn start_daemon(&self, name: &str, settings: &Path) -> Result<Child, Error> {
         let settings = settings.display().to_string();
-        self.child(name, "gingerpierd", &["run", "--settings", &settings])
+        self.start_child(name, "gingerpierd", &["run", "--settings", &settings])
     }
 
-    /// Starts an entry box; it becomes known with the next [`Fleet::publish`].
+    /// Starts an entry box, which is listed by the next [`Fleet::publish`].
     ///
     /// # Errors
     ///
-    /// Where it does not start.
+    /// Returns an error if a process does not start.
     pub fn add_entry(&mut self, zone: &Zone, index: usize) -> Result<(), Error> {
         let name = format!("{}-entry-{index}", zone.name);
-        let keys = self.keys(Role::Entry, &name)?;
+        let keys = self.issue_keys(Role::Entry, &name)?;
         let text = format!(
             "role: entry\nbox: {name}\nregion: {}\nzone: {}\nkeys: {}\nlisten:\n  \
              callers: 127.0.0.1:0\n  operators: 127.0.0.1:0\n  peers: 127.0.0.1:0\n  \
@@ -221,7 +222,7 @@
             self.spec.entry,
         );
         let settings = self.write_settings(&name, &text)?;
-        let child = self.daemon(&name, &settings)?;
+        let child = self.start_daemon(&name, &settings)?;
         self.entries.push(EntryBox {
             name,
             child,
@@ -230,11 +231,11 @@
         Ok(())
     }
 
-    /// Starts a backend server; it becomes known with the next [`Fleet::publish`].
+    /// Starts a backend server, which is listed by the next [`Fleet::publish`].
     ///
     /// # Errors
     ///
-    /// Where it does not start.
+    /// Returns an error if a process does not start.
     pub fn add_server(&mut self, zone: &Zone, index: usize) -> Result<(), Error> {
         let name = format!("{}-b{index}", zone.name);
         let mut engines = Vec::new();
@@ -242,9 +243,9 @@
         for engine in 0..self.spec.engines {
             let engine = format!("{name}-e{engine}");
             let address = if self.spec.engines_here {
-                self.engine_here()?
+                self.start_engine_in_process()?
             } else {
-                let child = self.engine(&engine)?;
+                let child = self.start_engine(&engine)?;
                 let address = child.address("address");
                 engines.push(child);
                 address
@@ -258,7 +259,7 @@
         let mut service_lines = String::new();
         for service in self.spec.services.iter().filter(|_| index == 0) {
             let instance = format!("{name}-{service}");
-            let child = self.child(
+            let child = self.start_child(
                 &instance,
                 "gingerpier-standin",
                 &["service", "--name", service],
@@ -269,7 +270,7 @@
             );
             services.push(child);
         }
-        let keys = self.keys(Role::Backend, &name)?;
+        let keys = self.issue_keys(Role::Backend, &name)?;
         let text = format!(
             "role: backend\nbox: {name}\nregion: {}\nzone: {}\nkeys: {}\nlisten:\n  \
              peers: 127.0.0.1:0\n  metrics: 127.0.0.1:0\nweights:\n  origin: http://{}\n{}\
@@ -287,11 +288,11 @@
             text
         };
         let settings = self.write_settings(&name, &text)?;
-        let child = self.daemon(&name, &settings)?;
+        let child = self.start_daemon(&name, &settings)?;
         let to = child.address("peers").to_string();
         let link = self.spec.links.then(|| {
             let link = format!("{name}-link");
-            self.child(
+            self.start_child(
                 &link,
                 "gingerpier-standin",
                 &["link", "--transport", "udp", "--to", &to],
@@ -311,38 +312,38 @@
         Ok(())
     }
 
-    /// Starts the process of a backend server anew, at the address that it had.
+    /// Kills the process of a backend server and restarts it at the same address.
     ///
     /// # Errors
     ///
-    /// Where it does not start.
+    /// Returns an error if a process does not start.
     pub fn restart_server(&mut self, index: usize) -> Result<(), Error> {
         let server = &mut self.servers[index];
         server.child.kill();
         let address = server.child.address("peers");
         let read = fs::read_to_string(&server.settings);
-        let text = read.map_err(|what| Error::new("reading", server.settings.display(), what))?;
+        let text = read.map_err(|cause| Error::new("reading", server.settings.display(), cause))?;
         let text = text.replace("  peers: 127.0.0.1:0", &format!("  peers: {address}"));
         let (name, settings) = (server.name.clone(), server.settings.clone());
         fs::write(&settings, text)
-            .map_err(|what| Error::new("writing", settings.display(), what))?;
-        let child = self.daemon(&name, &settings)?;
+            .map_err(|cause| Error::new("writing", settings.display(), cause))?;
+        let child = self.start_daemon(&name, &settings)?;
         self.servers[index].child = child;
         Ok(())
     }
 
-    fn engine(&self, name: &str) -> Result<Child, Error> {
+    fn start_engine(&self, name: &str) -> Result<Child, Error> {
         let capacity = self.spec.capacity.to_string();
         let token = self.spec.token_millis.to_string();
         let mut arguments = vec!["engine", "--capacity", &capacity, "--token-millis", &token];
         if self.spec.checks_fences {
             arguments.push("--checks-fences");
         }
-        self.child(name, "gingerpier-standin", &arguments)
+        self.start_child(name, "gingerpier-standin", &arguments)
     }
 
-    /// Serves an engine in this process.
-    fn engine_here(&self) -> Result<SocketAddr, Error> {
+    /// Runs an engine in the harness process.
+    fn start_engine_in_process(&self) -> Result<SocketAddr, Error> {
         let Spec {
             capacity,
             token_millis,
@@ -351,14 +352,14 @@
         } = self.spec;
         let options = engine::Options::in_process(capacity, token_millis, checks_fences);
         let listener = Listener::bind(SocketAddr::from(([127, 0, 0, 1], 0)));
-        let listener = listener.map_err(|what| Error::new("starting", "an engine", what))?;
+        let listener = listener.map_err(|cause| Error::new("starting", "an engine", cause))?;
         let address = listener.address();
         actix_rt::spawn(engine::serve(listener, options));
         Ok(address)
     }
 
     fn write_operator(&self) -> Result<(), Error> {
-        let keys = self.keys(Role::Operator, "alice")?;
+        let keys = self.issue_keys(Role::Operator, "alice")?;
         let entries = self
             .entries
             .iter()
@@ -372,26 +373,26 @@
         self.write_settings("operator", &text).map(|_| ())
     }
 
-    /// Settings of the operator's desk.
+    /// Settings file of the operators' command line.
     pub fn operator_settings(&self) -> PathBuf {
         self.folder.join("settings/operator.yaml")
     }
 
-    /// Notes in the box list that a box is leaving, with the next [`Fleet::publish`].
+    /// Marks a box as leaving in the box list, with the next [`Fleet::publish`].
     pub fn mark_leaving(&self, name: &str) {
         self.leaving.borrow_mut().push(name.to_owned());
     }
 
-    /// Puts all boxes of the fleet into the box list.
+    /// Writes all boxes of the fleet to the box list.
     ///
     /// # Errors
     ///
-    /// Where the box list does not take them.
+    /// Returns an error if the box list does not respond.
     pub async fn publish(&self) -> Result<(), Error> {
         let listed = |name: &str, role: Role, zone: &Zone, address: SocketAddr| {
             let parse = |text: &str| {
                 text.parse::<Name>()
-                    .map_err(|what| Error::new("naming", text, what))
+                    .map_err(|cause| Error::new("naming", text, cause))
             };
             Ok::<_, Error>(ListedBox {
                 name: parse(name)?,
@@ -417,52 +418,52 @@
         let url = format!("http://{}/boxes", self.box_list.address("address"));
         let sent = self.http.put(&url).send_json(&Listed { boxes }).await;
         sent.map(|_| ())
-            .map_err(|what| Error::new("publishing", url, what))
+            .map_err(|cause| Error::new("publishing", url, cause))
     }
 
-    /// Runs the operators' command line; gives its exit code and output.
+    /// Runs the operators' command line; returns its exit code and output.
     ///
     /// # Errors
     ///
-    /// Where it can't be started.
+    /// Returns an error if the command line cannot be started.
     pub async fn gingerpier(&self, arguments: &[&str]) -> Result<(i32, String), Error> {
-        let wrong = |what: String| Error::new("running", "gingerpier", what);
+        let to_error = |cause: String| Error::new("running", "gingerpier", cause);
         let output = Command::new(binary("gingerpier")?)
             .args(arguments)
             .env("GINGERPIER_SETTINGS", self.operator_settings())
             .output()
             .await
-            .map_err(|what| wrong(what.to_string()))?;
+            .map_err(|cause| to_error(cause.to_string()))?;
         let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
         text += &String::from_utf8_lossy(&output.stderr);
         Ok((output.status.code().unwrap_or(-1), text))
     }
 
-    /// Carries out a statement.
+    /// Executes a statement.
     ///
     /// # Errors
     ///
-    /// Where no entry box answers.
+    /// Returns an error if no entry box responds.
     pub async fn operate(&self, statement: &str) -> Result<Answered, Error> {
         self.operate_with(&[], statement).await
     }
 
-    /// Carries out a statement with further arguments.
+    /// Executes a statement with additional command line arguments.
     ///
     /// # Errors
     ///
-    /// Where no entry box answers.
+    /// Returns an error if no entry box responds.
     pub async fn operate_with(&self, more: &[&str], statement: &str) -> Result<Answered, Error> {
         let arguments = [&["do", "--json"], more, &[statement]].concat();
         let (_, text) = self.gingerpier(&arguments).await?;
         serde_json::from_str(&text).map_err(|_| Error::new("operating", statement, text.trim()))
     }
 
-    /// Carries out commands that must be accepted, and be in force everywhere.
+    /// Executes commands and waits until they are in force at all boxes; returns the revision.
     ///
     /// # Errors
     ///
-    /// Where they are not.
+    /// Returns an error if the commands are refused or not in force in time.
     pub async fn command(&self, statement: &str) -> Result<u64, Error> {
         match self
             .operate_with(&["--wait-millis", "18000"], statement)
@@ -475,11 +476,11 @@
         }
     }
 
-    /// Answer to a query.
+    /// Result of a query.
     ///
     /// # Errors
     ///
-    /// Where there is none.
+    /// Returns an error if the query is refused or no entry box responds.
     pub async fn table(&self, query: &str) -> Result<Table, Error> {
         match self.operate(query).await? {
             Answered::Table { table, .. } => Ok(table),
@@ -487,39 +488,39 @@
         }
     }
 
-    /// Waits until `look` succeeds.
+    /// Polls `check` until it succeeds.
     ///
     /// # Errors
     ///
-    /// Where it does not in time, with what was seen last.
-    pub async fn until<T, F, L>(&self, what: &str, look: L) -> Result<T, Error>
+    /// Returns an error if `check` does not succeed in time; the error contains the last observed state.
+    pub async fn until<T, F, L>(&self, condition: &str, check: L) -> Result<T, Error>
     where
         L: Fn() -> F,
         F: Future<Output = Result<Result<T, String>, Error>>,
     {
         let start = Instant::now();
         loop {
-            let last = match look().await {
+            let last = match check().await {
                 Ok(Ok(found)) => return Ok(found),
                 Ok(Err(seen)) => seen,
                 Err(error) => error.to_string(),
             };
-            if start.elapsed() > PATIENCE {
-                return Err(Error::Late {
-                    what: what.to_owned(),
-                    seconds: PATIENCE.as_secs(),
+            if start.elapsed() > UNTIL_TIMEOUT {
+                return Err(Error::Timeout {
+                    condition: condition.to_owned(),
+                    seconds: UNTIL_TIMEOUT.as_secs(),
                     last,
                 });
             }
-            actix_rt::time::sleep(LOOK).await;
+            actix_rt::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// Controls a stand-in.
+    /// Sends a control message to a stand-in.
     ///
     /// # Errors
     ///
-    /// Where it does not take the control.
+    /// Returns an error if the stand-in does not respond.
     pub async fn control(
         &self,
         address: SocketAddr,
@@ -528,57 +529,57 @@
         let url = format!("http://{address}/control");
         let sent = self.http.post(&url).send_json(control).await;
         sent.map(|_| ())
-            .map_err(|what| Error::new("controlling", url, what))
+            .map_err(|cause| Error::new("controlling", url, cause))
     }
 
-    /// Reads what a process tells, as text.
+    /// Fetches a path from a process, as text.
     ///
     /// # Errors
     ///
-    /// Where it does not answer.
+    /// Returns an error if the process does not respond.
     pub async fn read_text(&self, address: SocketAddr, path: &str) -> Result<String, Error> {
         let url = format!("http://{address}{path}");
-        let wrong = |what: String| Error::new("reading", &url, what);
+        let to_error = |cause: String| Error::new("reading", &url, cause);
         let sent = self.http.get(&url).send().await;
-        let mut answer = sent.map_err(|what| wrong(what.to_string()))?;
+        let mut answer = sent.map_err(|cause| to_error(cause.to_string()))?;
         let body = answer
             .body()
             .limit(64 << 20)
             .await
-            .map_err(|what| wrong(what.to_string()))?;
+            .map_err(|cause| to_error(cause.to_string()))?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// Reads what a stand-in tells.
+    /// Fetches a path from a stand-in, as JSON.
     ///
     /// # Errors
     ///
-    /// Where it does not answer.
+    /// Returns an error if the process does not respond.
     pub async fn read<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
     ) -> Result<T, Error> {
         let text = self.read_text(address, path).await?;
-        serde_json::from_str(&text).map_err(|what| Error::new("reading", path, what))
+        serde_json::from_str(&text).map_err(|cause| Error::new("reading", path, cause))
     }
 
-    /// Log of a process of the fleet, as far as it has come.
+    /// Current log of a process.
     pub fn log(&self, name: &str) -> String {
         let path = self.folder.join("logs").join(format!("{name}.log"));
         fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Caller at an entry box, of the client account that [`Fleet::deploy`] makes.
+    /// Caller of an entry box with the account that [`Fleet::deploy`] creates.
     pub fn caller(&self, entry: usize) -> Caller {
         Caller::new(self.entries[entry].child.address("callers"), TOKEN)
     }
 
-    /// Runs that the engines of a server have in their histories.
+    /// Runs in the histories of a server's engines.
     ///
     /// # Errors
     ///
-    /// Where an engine does not answer.
+    /// Returns an error if an engine does not respond.
     pub async fn runs(&self, server: usize) -> Result<Vec<Run>, Error> {
         let mut runs = Vec::new();
         for engine in &self.servers[server].engines {
@@ -590,11 +591,11 @@
         Ok(runs)
     }
 
-    /// Runs of `prompt` that any engine has in its history.
+    /// Number of runs of `prompt` at all engines.
     ///
     /// # Errors
     ///
-    /// Where an engine does not answer.
+    /// Returns an error if an engine does not respond.
     pub async fn runs_of(&self, prompt: &str) -> Result<usize, Error> {
         let mut count = 0;
         for server in 0..self.servers.len() {
@@ -604,11 +605,11 @@
         Ok(count)
     }
 
-    /// Calls that plain services have run with `body`.
+    /// Number of calls with `body` at all plain services.
     ///
     /// # Errors
     ///
-    /// Where a service does not answer.
+    /// Returns an error if a service does not respond.
     pub async fn calls_with(&self, body: &str) -> Result<usize, Error> {
         let mut count = 0;
         for service in self.servers.iter().flat_map(|server| &server.services) {
@@ -618,11 +619,11 @@
         Ok(count)
     }
 
-    /// Writes weights for a version, makes its manifest by the command line, and creates it.
+    /// Writes weights and a manifest for a version, and creates the version.
     ///
     /// # Errors
     ///
-    /// Where any of that fails.
+    /// Returns an error if a step fails.
     pub async fn create_version(
         &self,
         model: &str,
@@ -644,12 +645,11 @@
         self.command(&statement).await.map(|_| ())
     }
 
-    /// Makes a client account, a model served in every zone by all engines, and its version
-    /// `v1`, and waits until it is live.
+    /// Creates a client account and a model that all engines serve, and rolls out its version `v1`.
     ///
     /// # Errors
     ///
-    /// Where any of that fails.
+    /// Returns an error if a step fails.
     pub async fn deploy(&self, model: &str, megabytes: usize) -> Result<(), Error> {
         let (_, digest) = self.gingerpier(&["token", TOKEN]).await?;
         let mut commands = format!(
@@ -666,11 +666,11 @@
         self.until_live(model, "v1").await
     }
 
-    /// Waits until a version is live and its rollout is over.
+    /// Waits until a version is live and its rollout is complete.
     ///
     /// # Errors
     ///
-    /// Where it is not in time.
+    /// Returns an error if the version is not live in time.
     pub async fn until_live(&self, model: &str, version: &str) -> Result<(), Error> {
         let query = format!("show models of {model}");
         self.until(&format!("{model}@{version} is live"), || async {
--- a/crates/gingerpier_fleet/src/lib.rs
+++ b/crates/gingerpier_fleet/src/lib.rs
@@ -1,7 +1,7 @@
-//! Starts a small fleet of real processes for tests and the demonstration; not shipped.
+//! Test harness that runs a small fleet of real processes on one machine; not shipped.
 //!
-//! Every process is one of the two shipped binaries or a stand-in; this crate writes their
-//! settings and keys, starts and signals them by their own ids, and ends every one it started.
+//! The processes are the shipped binaries and stand-ins for platform services. The harness writes
+//! their settings and keys, starts them, sends signals and kills them on drop.
 //!
 //! ```no_run
 //! use gingerpier_fleet::{fleet::Fleet, spec::Spec};
--- a/crates/gingerpier_fleet/src/main.rs
+++ b/crates/gingerpier_fleet/src/main.rs
@@ -1,17 +1,16 @@
-//! `gingerpier-demo`: the main job from an operator's command to a caller's answer, on this
-//! machine, as separate processes, told in words and figures.
+//! `gingerpier-demo`: deploys, upgrades and drains a small local fleet and prints the results.
 
 use {
-    gingerpier_fleet::{Caller, Error, Fleet, Spec, caller::Call, fleet::TOKEN},
+    gingerpier_fleet::{Caller, Error, Fleet, Spec, caller::RequestSpec, fleet::TOKEN},
     gingerpier_standins::{engine::Run, origin::Counts},
     http::Method,
     std::{env, process::ExitCode, time::Instant},
 };
 
-/// Megabytes of each version's weights.
-const MEGABYTES: usize = 32;
-/// Requests sent while versions switch.
-const REQUESTS: usize = 60;
+/// Size of each version's weights, in megabytes.
+const WEIGHTS_MEGABYTES: usize = 32;
+/// Number of requests sent during the upgrade.
+const UPGRADE_REQUESTS: usize = 60;
 
 fn main() -> ExitCode {
     match actix_rt::System::new().block_on(run()) {
@@ -23,14 +22,14 @@
     }
 }
 
-fn say(text: &str) {
+fn print_heading(text: &str) {
     println!("\n== {text}");
 }
 
 async fn run() -> Result<(), Error> {
     let folder = env::temp_dir().join(format!("gingerpier-demo-{:08x}", fastrand::u32(..)));
     let start = Instant::now();
-    say(
+    print_heading(
         "Starting two regions: 2 entry boxes, 2 backend servers, 4 model engines, 2 plain services",
     );
     let fleet = Fleet::start_in(folder, Spec::small(), false).await?;
@@ -47,12 +46,12 @@
     );
     first_version(&fleet).await?;
     let caller = Caller::new(fleet.entries[0].child.address("callers"), TOKEN);
-    ask(&caller).await?;
-    switch(&fleet, &caller).await?;
+    send_requests(&caller).await?;
+    upgrade(&fleet, &caller).await?;
     drain_and_stop(&fleet, &caller).await?;
-    say("What operators did, from the audit trail");
+    print_heading("What operators did, from the audit trail");
     show(&fleet, "show audit last 30").await?;
-    say(&format!(
+    print_heading(&format!(
         "All of it took {:.1} s; every process is being ended",
         start.elapsed().as_secs_f64()
     ));
@@ -67,36 +66,40 @@
 }
 
 async fn first_version(fleet: &Fleet) -> Result<(), Error> {
-    say(&format!(
-        "An operator creates a model and a version of {MEGABYTES} MB of safetensors, and rolls it out"
+    print_heading(&format!(
+        "An operator creates a model and a version of {WEIGHTS_MEGABYTES} MB of safetensors, and rolls it out"
     ));
     let start = Instant::now();
-    fleet.deploy("plate-notes", MEGABYTES).await?;
+    fleet.deploy("plate-notes", WEIGHTS_MEGABYTES).await?;
     let seconds = start.elapsed().as_secs_f64();
     let counts: Counts = fleet
         .read(fleet.origin.address("address"), "/counts")
         .await?;
-    let copies = counts.bytes as f64 / (MEGABYTES as f64 * 1e6);
+    let copies = counts.bytes as f64 / (WEIGHTS_MEGABYTES as f64 * 1e6);
     println!(
         "live on 4 engines of 2 backend servers in {seconds:.1} s; the origin gave {copies:.2} copies"
     );
     show(fleet, "show loaded").await
 }
 
-async fn ask(caller: &Caller) -> Result<(), Error> {
-    say("A caller streams an answer, and a plain service is reached beside it");
-    let answer = caller
-        .call(Call::model("plate-notes", "Note for plate 1893-07", 12))
+async fn send_requests(caller: &Caller) -> Result<(), Error> {
+    print_heading("A caller streams an answer, and a plain service is reached beside it");
+    let response = caller
+        .send(RequestSpec::model(
+            "plate-notes",
+            "Note for plate 1893-07",
+            12,
+        ))
         .await?;
-    let (tokens, done) = answer.tokens();
+    let (tokens, done) = response.tokens();
     println!(
         "{} answered with {} tokens, whole: {}",
-        answer.version.unwrap_or_default(),
+        response.version.unwrap_or_default(),
         tokens.len(),
-        done && answer.whole
+        done && response.is_complete
     );
     let record = caller
-        .call(Call::new(
+        .send(RequestSpec::new(
             Method::GET,
             "/services/plates/record/1893-07",
             Vec::new(),
@@ -105,15 +108,15 @@
     println!("plates answered {}: {}", record.status, record.body.trim());
     let ticket = caller.ticket().await?;
     let annotate = || {
-        Call::new(
+        RequestSpec::new(
             Method::POST,
             "/services/plates/annotations",
             b"{\"plate\":1}".to_vec(),
         )
         .once(&ticket)
     };
-    let first = caller.call(annotate()).await?;
-    let second = caller.call(annotate()).await?;
+    let first = caller.send(annotate()).await?;
+    let second = caller.send(annotate()).await?;
     println!(
         "an annotation under a ticket: {}; sent again with the same ticket: {} ({})",
         first.status,
@@ -123,35 +126,39 @@
     Ok(())
 }
 
-async fn switch(fleet: &Fleet, caller: &Caller) -> Result<(), Error> {
-    say(&format!(
-        "Version v2 is rolled out by steps while {REQUESTS} requests run"
+async fn upgrade(fleet: &Fleet, caller: &Caller) -> Result<(), Error> {
+    print_heading(&format!(
+        "Version v2 is rolled out by steps while {UPGRADE_REQUESTS} requests run"
     ));
     fleet
-        .create_version("plate-notes", "v2", MEGABYTES, 2, None)
+        .create_version("plate-notes", "v2", WEIGHTS_MEGABYTES, 2, None)
         .await?;
     fleet
         .command("roll out plate-notes to v2 steps 50,100")
         .await?;
-    let mut whole = 0;
+    let mut complete = 0;
     let mut by_version = std::collections::BTreeMap::new();
-    for number in 0..REQUESTS {
-        let answer = caller
-            .call(Call::model("plate-notes", &format!("Note {number}"), 24))
+    for number in 0..UPGRADE_REQUESTS {
+        let response = caller
+            .send(RequestSpec::model(
+                "plate-notes",
+                &format!("Note {number}"),
+                24,
+            ))
             .await?;
-        let (tokens, done) = answer.tokens();
-        whole += usize::from(done && answer.whole && tokens.len() == 24);
+        let (tokens, done) = response.tokens();
+        complete += usize::from(done && response.is_complete && tokens.len() == 24);
         *by_version
-            .entry(answer.version.unwrap_or_default())
+            .entry(response.version.unwrap_or_default())
             .or_insert(0) += 1;
     }
     fleet.until_live("plate-notes", "v2").await?;
-    println!("{whole} of {REQUESTS} answers were whole; answered by {by_version:?}");
+    println!("{complete} of {UPGRADE_REQUESTS} answers were whole; answered by {by_version:?}");
     show(fleet, "show live").await
 }
 
 async fn drain_and_stop(fleet: &Fleet, caller: &Caller) -> Result<(), Error> {
-    say("A backend server is drained, then the other is asked for everything");
+    print_heading("A backend server is drained, then the other is asked for everything");
     let drained = &fleet.servers[0];
     fleet.command(&format!("drain {}", drained.name)).await?;
     let runs_of = async |index: usize| {
@@ -168,7 +175,7 @@
     let before = (runs_of(0).await?, runs_of(1).await?);
     for number in 0..10 {
         caller
-            .call(Call::model(
+            .send(RequestSpec::model(
                 "plate-notes",
                 &format!("After the drain {number}"),
                 4,
@@ -189,13 +196,13 @@
     fleet
         .until("the stopped server is gone from the alive", || async {
             let table = fleet.table("show boxes").await?;
-            let standing = table
+            let state = table
                 .rows
                 .iter()
                 .find(|row| row[0] == drained.name)
                 .map(|row| row[4].clone());
-            Ok(if standing.as_deref() == Some("alive") {
-                Err(format!("{standing:?}"))
+            Ok(if state.as_deref() == Some("alive") {
+                Err(format!("{state:?}"))
             } else {
                 Ok(())
             })
--- a/crates/gingerpier_fleet/src/spec.rs
+++ b/crates/gingerpier_fleet/src/spec.rs
@@ -1,51 +1,51 @@
-//! What a fleet consists of.
+//! Specification of a fleet.
 
-/// An availability zone.
+/// Availability zone of a fleet.
 #[derive(Debug, Clone)]
 pub struct Zone {
     /// Region.
     pub region: &'static str,
-    /// Its name.
+    /// Name of the zone.
     pub name: &'static str,
-    /// Entry boxes.
+    /// Number of entry boxes.
     pub entries: usize,
-    /// Backend servers.
+    /// Number of backend servers.
     pub backends: usize,
 }
 
-/// A fleet.
+/// Processes of a fleet and their settings.
 #[derive(Debug, Clone)]
 pub struct Spec {
     /// Availability zones.
     pub zones: Vec<Zone>,
-    /// Model engines on each backend server.
+    /// Number of model engines per backend server.
     pub engines: usize,
-    /// Requests that an engine runs at once.
+    /// Maximum number of concurrent requests per engine.
     pub capacity: u32,
-    /// Milliseconds for a token.
+    /// Time per token of an engine, in milliseconds.
     pub token_millis: u64,
-    /// True where engines refuse stale fences themselves.
+    /// True if engines refuse orders with stale fences.
     pub checks_fences: bool,
-    /// Plain services, one instance of each in each zone.
+    /// Plain services; one instance of each runs per zone.
     pub services: Vec<&'static str>,
-    /// Milliseconds by which the box list lags.
+    /// Delay of the box list, in milliseconds.
     pub list_lag_millis: u64,
-    /// Bytes a second of the origin's link; 0 for any number.
+    /// Bandwidth of the origin, in bytes per second; 0 for unlimited.
     pub origin_rate: u64,
-    /// Further lines of `weights` in the backend servers' settings, each indented by two.
+    /// Additional lines of the section `weights` in backend settings, indented by two spaces.
     pub weights: String,
-    /// Further lines of the entry boxes' settings.
+    /// Additional lines of the entry box settings.
     pub entry: String,
     /// Size of a chunk, in bytes.
     pub chunk_bytes: u32,
-    /// True where engines are served in the starter's own process, so that more servers fit.
+    /// True to run engines in the harness process, to save processes in large fleets.
     pub engines_here: bool,
-    /// True where each backend server is reached through a link that can be cut.
+    /// True to reach each backend server through a link that can be interrupted or delayed.
     pub links: bool,
 }
 
 impl Spec {
-    /// Two zones of two regions, one entry box and one backend server with two engines each.
+    /// Two zones in two regions, each with one entry box and one backend server with two engines.
     pub fn small() -> Self {
         let zone = |region, name| Zone {
             region,
--- a/crates/gingerpier_fleet/tests/control.rs
+++ b/crates/gingerpier_fleet/tests/control.rs
@@ -1,8 +1,8 @@
-//! Configuration, authority and operators on real processes, through outages and races.
+//! Configuration, keys and operator commands on real processes, with outages and races.
 
 use {
     gingerpier_daemon::operate::Answered,
-    gingerpier_fleet::{Error, Fleet, Spec, caller::Call, spec::Zone},
+    gingerpier_fleet::{Error, Fleet, Spec, caller::RequestSpec, spec::Zone},
     gingerpier_standins::{
         engine::Ordered,
         key_value::{Control, Counts},
@@ -30,12 +30,15 @@
 }
 
 async fn check_served(fleet: &Fleet, entry: usize) -> Result<(), Error> {
-    let answer = fleet.caller(entry).call(Call::model(MODEL, "p", 3)).await?;
-    assert!(answer.whole && answer.tokens().1, "{answer:?}");
+    let response = fleet
+        .caller(entry)
+        .send(RequestSpec::model(MODEL, "p", 3))
+        .await?;
+    assert!(response.is_complete && response.tokens().1, "{response:?}");
     Ok(())
 }
 
-/// Revision in force at each box, as an entry box knows it.
+/// Waits until all boxes report `revision` or a newer one.
 async fn until_in_force(fleet: &Fleet, revision: u64) -> Result<(), Error> {
     fleet
         .until(
@@ -57,7 +60,7 @@
 }
 
 #[actix_rt::test]
-async fn a_write_whose_answer_is_lost_takes_effect_once() -> Result<(), Error> {
+async fn write_with_lost_response_takes_effect_once() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     key_value(
         &fleet,
@@ -83,7 +86,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_repeated_under_its_identity_takes_effect_once() -> Result<(), Error> {
+async fn retry_with_same_identity_takes_effect_once() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     let identity = ["--identity", "000000000000000000000000000000aa"];
     let statement = "create model repeated for lm";
@@ -105,7 +108,7 @@
 }
 
 #[actix_rt::test]
-async fn of_two_operators_that_race_one_wins_and_the_other_is_told() -> Result<(), Error> {
+async fn one_of_two_concurrent_rollouts_is_refused() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     for version in ["v2", "v3"] {
         fleet.create_version(MODEL, version, 1, 7, None).await?;
@@ -114,21 +117,21 @@
     let (one, other) = (statement("v2"), statement("v3"));
     let (one, other) = futures_util::join!(fleet.operate(&one), fleet.operate(&other));
     let answers = [one?, other?];
-    let won = answers
+    let accepted = answers
         .iter()
-        .filter(|answer| matches!(answer, Answered::Accepted { .. }))
+        .filter(|response| matches!(response, Answered::Accepted { .. }))
         .count();
-    assert_eq!(won, 1, "{answers:?}");
-    let told = answers.iter().any(|answer| {
-        matches!(answer, Answered::Refused { why, last_change: Some(change), .. }
+    assert_eq!(accepted, 1, "{answers:?}");
+    let reported = answers.iter().any(|response| {
+        matches!(response, Answered::Refused { why, last_change: Some(change), .. }
             if why.contains("is being rolled out") && change.contains("by "))
     });
-    assert!(told, "{answers:?}");
+    assert!(reported, "{answers:?}");
     Ok(())
 }
 
 #[actix_rt::test]
-async fn an_outage_of_the_service_stops_nothing_but_changes() -> Result<(), Error> {
+async fn key_value_outage_blocks_only_configuration_changes() -> Result<(), Error> {
     let mut fleet = start(Spec::small()).await?;
     let revision = fleet
         .command("create model before-the-outage for lm")
@@ -141,13 +144,13 @@
         },
     )
     .await?;
-    let (code, told) = fleet
+    let (code, reported) = fleet
         .gingerpier(&["do", "create model during-the-outage for lm"])
         .await?;
-    assert_eq!(code, 3, "{told}");
-    assert!(told.contains("nothing was changed"), "{told}");
+    assert_eq!(code, 3, "{reported}");
+    assert!(reported.contains("nothing was changed"), "{reported}");
     check_served(&fleet, 0).await?;
-    // A box that is replaced meanwhile learns what is in force from its peers.
+    // An entry box that starts during the outage gets the configuration from its peers.
     let zone = fleet.spec.zones[0].clone();
     fleet.add_entry(&zone, 7)?;
     fleet.publish().await?;
@@ -155,14 +158,14 @@
     let newest = fleet.entries.len() - 1;
     fleet
         .until("the new entry box serves", || async {
-            let answer = fleet
+            let response = fleet
                 .caller(newest)
-                .call(Call::model(MODEL, "p", 3))
+                .send(RequestSpec::model(MODEL, "p", 3))
                 .await?;
-            Ok(if answer.whole && answer.status == 200 {
+            Ok(if response.is_complete && response.status == 200 {
                 Ok(())
             } else {
-                Err(format!("{answer:?}"))
+                Err(format!("{response:?}"))
             })
         })
         .await?;
@@ -175,7 +178,7 @@
 }
 
 #[actix_rt::test]
-async fn a_planner_frozen_past_its_lease_does_no_harm_when_it_wakes() -> Result<(), Error> {
+async fn planner_suspended_past_its_lease_makes_no_changes() -> Result<(), Error> {
     let zone = |region, name| Zone {
         region,
         name,
@@ -196,26 +199,26 @@
         .rows
         .iter()
         .find_map(|row| row[2].strip_prefix("planner/"));
-    let planner = planner.expect("a planner has planned").to_owned();
-    let frozen = fleet
+    let planner = planner.expect("planner is in the audit trail").to_owned();
+    let suspended = fleet
         .entries
         .iter()
         .find(|entry| entry.name == planner)
-        .expect("it is known");
+        .expect("planner is an entry box");
     fleet.create_version(MODEL, "v2", 1, 7, None).await?;
-    frozen.child.freeze();
+    suspended.child.freeze();
     let _ = fleet.operate(&format!("roll out {MODEL} to v2")).await?;
     fleet.until_live(MODEL, "v2").await?;
     let before = fleet.table("show audit last 100").await?.rows.len();
-    frozen.child.thaw();
+    suspended.child.thaw();
     sleep(3_000).await;
     check_served(&fleet, 0).await?;
     let rows = fleet.table("show audit last 100").await?.rows;
-    let by_frozen = rows[before..]
+    let by_suspended = rows[before..]
         .iter()
         .filter(|row| row[2].ends_with(&planner))
         .count();
-    assert_eq!(by_frozen, 0, "{rows:?}");
+    assert_eq!(by_suspended, 0, "{rows:?}");
     for engine in fleet.servers.iter().flat_map(|server| &server.engines) {
         let orders: Vec<Ordered> = fleet.read(engine.address("address"), "/orders").await?;
         assert!(
@@ -229,9 +232,8 @@
 }
 
 #[actix_rt::test]
-async fn a_restarted_door_orders_nothing_until_the_service_has_confirmed_its_revision()
--> Result<(), Error> {
-    // Weights take some seconds, so that the order to load them falls into the outage.
+async fn restarted_backend_sends_no_orders_before_its_revision_is_confirmed() -> Result<(), Error> {
+    // Slow weight transfer, so that the load order falls into the outage.
     let weights = "  receive: 300kB/s\n".to_owned();
     let mut fleet = start(Spec {
         weights,
@@ -273,13 +275,13 @@
     .await?;
     fleet.restart_server(0)?;
     fleet
-        .until("the door says why it gives no order", || async {
+        .until("the backend reports why it sends no order", || async {
             let table = fleet.table("show engines in trivandrum").await?;
-            let told = table
+            let reported = table
                 .rows
                 .iter()
                 .any(|row| row[11].contains("has not confirmed"));
-            Ok(if told {
+            Ok(if reported {
                 Ok(())
             } else {
                 Err(format!("{:?}", table.rows))
@@ -287,7 +289,7 @@
         })
         .await?;
     assert_eq!(orders(&fleet).await?, before);
-    // The engine still holds what it held, and serves it.
+    // The engine still serves its loaded version.
     check_served(&fleet, 0).await?;
     key_value(&fleet, Control::default()).await?;
     fleet.until_live(MODEL, "v2").await?;
@@ -296,7 +298,7 @@
 }
 
 #[actix_rt::test]
-async fn a_server_that_was_cut_off_catches_up_and_nothing_is_undone() -> Result<(), Error> {
+async fn isolated_server_catches_up_after_reconnecting() -> Result<(), Error> {
     let fleet = start(Spec {
         links: true,
         ..Spec::small()
@@ -305,7 +307,7 @@
     let control = fleet.servers[0]
         .link
         .as_ref()
-        .expect("there is a link")
+        .expect("link is configured")
         .address("control");
     let cut = link::Control {
         state: link::Passage::Cut,
@@ -313,17 +315,17 @@
     };
     fleet.control(control, &cut).await?;
     fleet
-        .until("the cut is noticed", || async {
+        .until("the server is suspect", || async {
             let table = fleet.table("show boxes").await?;
             let row = table
                 .rows
                 .iter()
                 .find(|row| row[0] == fleet.servers[0].name);
-            let standing = row.map(|row| row[4].clone()).unwrap_or_default();
-            Ok(if standing == "suspect" {
+            let state = row.map(|row| row[4].clone()).unwrap_or_default();
+            Ok(if state == "suspect" {
                 Ok(())
             } else {
-                Err(standing)
+                Err(state)
             })
         })
         .await?;
@@ -344,7 +346,7 @@
 }
 
 #[actix_rt::test]
-async fn the_service_is_called_sparingly_when_nothing_changes() -> Result<(), Error> {
+async fn idle_fleet_makes_few_key_value_calls() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     sleep(1_000).await;
     let address = fleet.key_value.address("address");
@@ -352,7 +354,7 @@
     sleep(5_000).await;
     let after: Counts = fleet.read(address, "/counts").await?;
     let calls = |counts: &Counts| counts.reads + counts.writes + counts.leases;
-    // The planner's lease every 2 s, and the other candidate's look for it.
+    // Lease renewals every 2 s, and the polls of the standby planner.
     assert!(calls(&after) - calls(&before) <= 8, "{before:?}, {after:?}");
     assert_eq!(after.writes, before.writes);
     assert!(
@@ -363,15 +365,15 @@
 }
 
 #[actix_rt::test]
-async fn only_operators_command_and_keys_are_replaced_without_a_restart() -> Result<(), Error> {
+async fn only_operators_are_authorized_and_keys_reload_without_restart() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     let keys = fleet.folder.join("keys");
     let stranger = fleet.folder.join("stranger");
-    let settings = std::fs::read_to_string(fleet.operator_settings()).expect("it was written");
+    let settings = std::fs::read_to_string(fleet.operator_settings()).expect("settings exist");
     let entries = settings
         .lines()
         .find(|line| line.starts_with("entries"))
-        .expect("it names them");
+        .expect("settings contain entries");
     let with_keys = |name: &str, keys: &std::path::Path| {
         let path = fleet.folder.join(format!("{name}.yaml"));
         let text = format!("role: operator\nkeys: {}\n{entries}\n", keys.display());
@@ -386,12 +388,12 @@
     let other = stranger.join("operator/mallory");
     for (name, folder) in [("as-backend", backend), ("as-stranger", other)] {
         let path = with_keys(name, &folder);
-        let (code, told) = fleet
+        let (code, reported) = fleet
             .gingerpier(&["--settings", &path, "do", "show boxes"])
             .await?;
-        assert_eq!(code, 3, "{name}: {told}");
+        assert_eq!(code, 3, "{name}: {reported}");
     }
-    // The same authority issues new keys for an entry box; the process takes them up.
+    // New keys of the same authority are loaded without a restart.
     let folder = keys.display().to_string();
     let name = fleet.entries[0].name.clone();
     fleet
@@ -417,7 +419,7 @@
 }
 
 #[actix_rt::test]
-async fn adapters_are_served_on_their_base_and_go_back_goes_back() -> Result<(), Error> {
+async fn adapter_is_served_with_its_base_before_and_after_rollback() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     fleet
         .command(&format!(
@@ -429,13 +431,13 @@
         .await?;
     fleet.command("roll out stewards to a1").await?;
     fleet.until_live("stewards", "a1").await?;
-    let answer = fleet
+    let response = fleet
         .caller(0)
-        .call(Call::model("stewards", "p", 3))
+        .send(RequestSpec::model("stewards", "p", 3))
         .await?;
     assert!(
-        answer.whole && answer.version.as_deref() == Some("stewards@a1"),
-        "{answer:?}"
+        response.is_complete && response.version.as_deref() == Some("stewards@a1"),
+        "{response:?}"
     );
     check_served(&fleet, 0).await?;
     fleet.create_version(MODEL, "v2", 1, 7, None).await?;
@@ -445,14 +447,14 @@
     fleet.until_live(MODEL, "v1").await?;
     fleet
         .until("the adapter is served again on its base", || async {
-            let answer = fleet
+            let response = fleet
                 .caller(0)
-                .call(Call::model("stewards", "p", 3))
+                .send(RequestSpec::model("stewards", "p", 3))
                 .await?;
-            Ok(if answer.whole && answer.status == 200 {
+            Ok(if response.is_complete && response.status == 200 {
                 Ok(())
             } else {
-                Err(format!("{answer:?}"))
+                Err(format!("{response:?}"))
             })
         })
         .await
--- a/crates/gingerpier_fleet/tests/requests.rs
+++ b/crates/gingerpier_fleet/tests/requests.rs
@@ -1,9 +1,9 @@
-//! The promises to callers, on real processes, judged by what the engines and services saw.
+//! Guarantees to callers, checked on real processes against the histories of engines and services.
 
 use {
     gingerpier_fleet::{
         Caller, Error, Fleet, Spec,
-        caller::{Answer, Call},
+        caller::{RequestSpec, Response},
     },
     gingerpier_standins::{engine, service, token},
     http::Method,
@@ -18,7 +18,7 @@
     Ok(fleet)
 }
 
-/// The tokens that a version's engine gives for a prompt.
+/// Tokens that an engine generates for `prompt`.
 async fn expected(fleet: &Fleet, prompt: &str, count: u64) -> Result<Vec<String>, Error> {
     let table = fleet.table(&format!("show versions of {MODEL}")).await?;
     let manifest = table.rows[0][6].clone();
@@ -27,20 +27,20 @@
         .collect())
 }
 
-async fn check_whole(
+async fn check_complete(
     fleet: &Fleet,
-    answer: &Answer,
+    response: &Response,
     prompt: &str,
     count: u64,
 ) -> Result<(), Error> {
-    let (tokens, done) = answer.tokens();
-    assert!(answer.whole && done, "{answer:?}");
+    let (tokens, done) = response.tokens();
+    assert!(response.is_complete && done, "{response:?}");
     assert_eq!(tokens, expected(fleet, prompt, count).await?);
     Ok(())
 }
 
-fn annotate(body: &str, ticket: &str) -> Call {
-    Call::new(Method::POST, "/services/plates/annotations", body.into()).once(ticket)
+fn annotate(body: &str, ticket: &str) -> RequestSpec {
+    RequestSpec::new(Method::POST, "/services/plates/annotations", body.into()).once(ticket)
 }
 
 async fn sleep(millis: u64) {
@@ -48,10 +48,9 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_that_breaks_off_is_gone_on_with_elsewhere_from_the_right_token()
--> Result<(), Error> {
+async fn interrupted_response_resumes_at_the_right_token() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
-    // Both engines of the nearest server: two of the three tries break off.
+    // Both engines of the nearest server interrupt the response, so two of three attempts fail.
     for engine in &fleet.servers[0].engines {
         let control = engine::Control {
             break_after: Some(5),
@@ -59,21 +58,20 @@
         };
         fleet.control(engine.address("address"), &control).await?;
     }
-    let answer = fleet
+    let response = fleet
         .caller(0)
-        .call(Call::model(MODEL, "resumed", 24))
+        .send(RequestSpec::model(MODEL, "resumed", 24))
         .await?;
-    check_whole(&fleet, &answer, "resumed", 24).await?;
+    check_complete(&fleet, &response, "resumed", 24).await?;
     assert!(
         fleet.runs_of("resumed").await? > 1,
-        "the answer was not broken off at all"
+        "the response was not interrupted"
     );
     Ok(())
 }
 
 #[actix_rt::test]
-async fn a_request_that_must_not_run_twice_is_not_tried_again_once_it_may_have_run()
--> Result<(), Error> {
+async fn non_repeatable_request_is_not_retried_after_it_may_have_run() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     for engine in fleet.servers.iter().flat_map(|server| &server.engines) {
         let control = engine::Control {
@@ -84,16 +82,16 @@
     }
     let caller = fleet.caller(0);
     let ticket = caller.ticket().await?;
-    let answer = caller
-        .call(Call::model(MODEL, "pairing", 24).once(&ticket))
+    let response = caller
+        .send(RequestSpec::model(MODEL, "pairing", 24).once(&ticket))
         .await?;
     assert!(
-        !answer.whole,
-        "a broken answer must not look whole: {answer:?}"
+        !response.is_complete,
+        "an interrupted response must not be complete: {response:?}"
     );
     assert_eq!(fleet.runs_of("pairing").await?, 1);
     let again = caller
-        .call(Call::model(MODEL, "pairing", 24).once(&ticket))
+        .send(RequestSpec::model(MODEL, "pairing", 24).once(&ticket))
         .await?;
     assert_eq!(again.outcome.as_deref(), Some("unknown"), "{again:?}");
     assert_eq!(fleet.runs_of("pairing").await?, 1);
@@ -101,7 +99,7 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_that_dies_midway_costs_a_repeatable_request_nothing() -> Result<(), Error> {
+async fn repeatable_request_survives_the_death_of_its_engine() -> Result<(), Error> {
     let mut fleet = start(Spec {
         token_millis: 20,
         ..Spec::small()
@@ -109,7 +107,9 @@
     .await?;
     let caller = fleet.caller(0);
     let calling =
-        actix_rt::spawn(async move { caller.call(Call::model(MODEL, "survives", 60)).await });
+        actix_rt::spawn(
+            async move { caller.send(RequestSpec::model(MODEL, "survives", 60)).await },
+        );
     fleet
         .until("the request runs", || async {
             let runs = fleet.runs_of("survives").await?;
@@ -120,34 +120,34 @@
             })
         })
         .await?;
-    let mut victim = None;
+    let mut running_engine = None;
     for server in 0..fleet.servers.len() {
         for engine in 0..fleet.servers[server].engines.len() {
             let address = fleet.servers[server].engines[engine].address("address");
             let runs: Vec<engine::Run> = fleet.read(address, "/history").await?;
             if !runs.is_empty() {
-                victim = Some((server, engine));
+                running_engine = Some((server, engine));
             }
         }
     }
-    let (server, engine) = victim.expect("an engine runs the request");
+    let (server, engine) = running_engine.expect("an engine runs the request");
     let expected = expected(&fleet, "survives", 60).await?;
     fleet.servers[server].engines[engine].kill();
-    let answer = calling.await.expect("the call ends")?;
-    assert!(answer.whole && answer.tokens().1, "{answer:?}");
-    assert_eq!(answer.tokens().0, expected);
+    let response = calling.await.expect("the request ends")?;
+    assert!(response.is_complete && response.tokens().1, "{response:?}");
+    assert_eq!(response.tokens().0, expected);
     Ok(())
 }
 
 #[actix_rt::test]
-async fn the_same_ticket_through_another_entry_box_runs_nothing_twice() -> Result<(), Error> {
+async fn ticket_runs_once_through_several_entry_boxes() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     let (here, there) = (fleet.caller(0), fleet.caller(1));
     let ticket = here.ticket().await?;
-    let first = there.call(annotate("once", &ticket)).await?;
+    let first = there.send(annotate("once", &ticket)).await?;
     assert_eq!(first.status, 200, "{first:?}");
     for caller in [&here, &there] {
-        let again = caller.call(annotate("once", &ticket)).await?;
+        let again = caller.send(annotate("once", &ticket)).await?;
         assert_eq!(again.outcome.as_deref(), Some("answered"), "{again:?}");
     }
     assert_eq!(fleet.calls_with("once").await?, 1);
@@ -155,7 +155,7 @@
 }
 
 #[actix_rt::test]
-async fn a_second_try_while_the_first_runs_is_told_so() -> Result<(), Error> {
+async fn concurrent_retry_with_same_ticket_gets_conflict() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     let slow = service::Control {
         delay_millis: 1_500,
@@ -167,7 +167,7 @@
     let ticket = here.ticket().await?;
     let first = {
         let (here, ticket) = (here.clone(), ticket.clone());
-        actix_rt::spawn(async move { here.call(annotate("running", &ticket)).await })
+        actix_rt::spawn(async move { here.send(annotate("running", &ticket)).await })
     };
     fleet
         .until("it runs", || async {
@@ -179,27 +179,27 @@
             })
         })
         .await?;
-    let second = there.call(annotate("running", &ticket)).await?;
+    let second = there.send(annotate("running", &ticket)).await?;
     assert_eq!(
         (second.status, second.outcome.as_deref()),
         (409, Some("unknown"))
     );
-    assert_eq!(first.await.expect("the call ends")?.status, 200);
+    assert_eq!(first.await.expect("the request ends")?.status, 200);
     assert_eq!(fleet.calls_with("running").await?, 1);
     Ok(())
 }
 
 #[actix_rt::test]
-async fn a_ticket_whose_owner_is_dead_is_unknown_and_runs_nothing() -> Result<(), Error> {
+async fn ticket_of_dead_entry_box_is_unknown_and_does_not_run() -> Result<(), Error> {
     let mut fleet = start(Spec::small()).await?;
     let (owner, other) = (fleet.caller(0), fleet.caller(1));
     let used = owner.ticket().await?;
     let unused = owner.ticket().await?;
-    assert_eq!(other.call(annotate("used", &used)).await?.status, 200);
+    assert_eq!(other.send(annotate("used", &used)).await?.status, 200);
     fleet.entries[0].child.kill();
     sleep(500).await;
     for (body, ticket) in [("used", &used), ("unused", &unused)] {
-        let again = other.call(annotate(body, ticket)).await?;
+        let again = other.send(annotate(body, ticket)).await?;
         assert_eq!(again.outcome.as_deref(), Some("unknown"), "{again:?}");
     }
     assert_eq!(
@@ -213,7 +213,7 @@
 }
 
 #[actix_rt::test]
-async fn an_entry_box_killed_while_its_request_runs_leaves_it_unknown() -> Result<(), Error> {
+async fn request_is_unknown_after_its_entry_box_is_killed() -> Result<(), Error> {
     let mut fleet = start(Spec::small()).await?;
     let slow = service::Control {
         delay_millis: 30_000,
@@ -225,7 +225,7 @@
     let ticket = owner.ticket().await?;
     let lost = {
         let ticket = ticket.clone();
-        actix_rt::spawn(async move { doomed.call(annotate("orphan", &ticket)).await })
+        actix_rt::spawn(async move { doomed.send(annotate("orphan", &ticket)).await })
     };
     fleet
         .until("it runs", || async {
@@ -238,8 +238,8 @@
         })
         .await?;
     fleet.entries[0].child.kill();
-    assert!(lost.await.expect("the call ends").is_err());
-    let again = owner.call(annotate("orphan", &ticket)).await?;
+    assert!(lost.await.expect("the request ends").is_err());
+    let again = owner.send(annotate("orphan", &ticket)).await?;
     assert_eq!(again.outcome.as_deref(), Some("unknown"), "{again:?}");
     sleep(500).await;
     assert_eq!(fleet.calls_with("orphan").await?, 1);
@@ -247,23 +247,22 @@
 }
 
 #[actix_rt::test]
-async fn a_frozen_door_is_given_up_at_the_deadline_and_runs_nothing_twice_when_it_thaws()
--> Result<(), Error> {
+async fn suspended_backend_times_out_and_does_not_run_a_request_twice() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     let caller = fleet.caller(0);
     let ticket = caller.ticket().await?;
-    // The nearest plain service stands behind the door of this zone.
+    // The nearest plain service belongs to the backend server of this zone.
     fleet.servers[0].child.freeze();
     let start = Instant::now();
     let call = annotate("frozen", &ticket).header("gingerpier-patience-millis", "1000");
-    let answer = caller.call(call).await?;
+    let response = caller.send(call).await?;
     assert!(
         start.elapsed() < Duration::from_secs(10),
-        "the answer was held back"
+        "the response came after the deadline"
     );
-    assert_eq!(answer.outcome.as_deref(), Some("unknown"), "{answer:?}");
-    assert!(answer.come_back_millis.is_some(), "{answer:?}");
-    let again = fleet.caller(1).call(annotate("frozen", &ticket)).await?;
+    assert_eq!(response.outcome.as_deref(), Some("unknown"), "{response:?}");
+    assert!(response.retry_after_millis.is_some(), "{response:?}");
+    let again = fleet.caller(1).send(annotate("frozen", &ticket)).await?;
     assert_eq!(again.outcome.as_deref(), Some("unknown"), "{again:?}");
     fleet.servers[0].child.thaw();
     sleep(3_000).await;
@@ -272,7 +271,7 @@
 }
 
 #[actix_rt::test]
-async fn not_run_is_true_and_the_ticket_is_still_good() -> Result<(), Error> {
+async fn not_run_outcome_leaves_the_ticket_usable() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     let refusing = engine::Control {
         refuse: 100,
@@ -284,31 +283,31 @@
     let caller = fleet.caller(0);
     let ticket = caller.ticket().await?;
     let refused = caller
-        .call(Call::model(MODEL, "later", 4).once(&ticket))
+        .send(RequestSpec::model(MODEL, "later", 4).once(&ticket))
         .await?;
     assert_eq!(
         (refused.status, refused.outcome.as_deref()),
         (503, Some("not-run")),
         "{refused:?}"
     );
-    assert!(refused.come_back_millis.is_some());
+    assert!(refused.retry_after_millis.is_some());
     assert_eq!(fleet.runs_of("later").await?, 0);
     for engine in fleet.servers.iter().flat_map(|server| &server.engines) {
         fleet
             .control(engine.address("address"), &engine::Control::default())
             .await?;
     }
-    let answer = fleet
+    let response = fleet
         .caller(1)
-        .call(Call::model(MODEL, "later", 4).once(&ticket))
+        .send(RequestSpec::model(MODEL, "later", 4).once(&ticket))
         .await?;
-    check_whole(&fleet, &answer, "later", 4).await?;
+    check_complete(&fleet, &response, "later", 4).await?;
     assert_eq!(fleet.runs_of("later").await?, 1);
     Ok(())
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_cuts_off_no_answer() -> Result<(), Error> {
+async fn planned_stop_completes_running_responses() -> Result<(), Error> {
     let mut fleet = start(Spec {
         token_millis: 20,
         ..Spec::small()
@@ -317,7 +316,9 @@
     let calls: Vec<_> = (0..2)
         .map(|entry| {
             let caller = fleet.caller(entry);
-            actix_rt::spawn(async move { caller.call(Call::model(MODEL, "long", 100)).await })
+            actix_rt::spawn(
+                async move { caller.send(RequestSpec::model(MODEL, "long", 100)).await },
+            )
         })
         .collect();
     fleet
@@ -336,9 +337,9 @@
     }
     fleet.entries[0].child.terminate();
     for call in calls {
-        let answer = call.await.expect("the call ends")?;
-        assert!(answer.whole && answer.tokens().1, "{answer:?}");
-        assert_eq!(answer.tokens().0, expected);
+        let response = call.await.expect("the request ends")?;
+        assert!(response.is_complete && response.tokens().1, "{response:?}");
+        assert_eq!(response.tokens().0, expected);
     }
     for _ in 0..100 {
         sleep(100).await;
@@ -350,50 +351,50 @@
             return Ok(());
         }
     }
-    panic!("a server that was told to stop did not end");
+    panic!("a server did not exit after SIGTERM");
 }
 
 #[actix_rt::test]
-async fn a_leaving_server_gets_no_new_work_by_any_notice() -> Result<(), Error> {
+async fn leaving_server_gets_no_new_requests() -> Result<(), Error> {
     let fleet = start(Spec::small()).await?;
     let caller = fleet.caller(0);
-    let fresh = async |server: usize| -> Result<usize, Error> {
+    let count_new_runs = async |server: usize| -> Result<usize, Error> {
         let before = fleet.runs(server).await?.len();
         for number in 0..10 {
-            let answer = caller
-                .call(Call::model(MODEL, &format!("{number}"), 2))
+            let response = caller
+                .send(RequestSpec::model(MODEL, &format!("{number}"), 2))
                 .await?;
-            assert!(answer.whole, "{answer:?}");
+            assert!(response.is_complete, "{response:?}");
         }
         Ok(fleet.runs(server).await?.len() - before)
     };
     assert!(
-        fresh(0).await? > 0,
-        "the nearest server is the first choice"
+        count_new_runs(0).await? > 0,
+        "the nearest server must be preferred"
     );
     fleet.mark_leaving(&fleet.servers[0].name);
     fleet.publish().await?;
     fleet
-        .until("the box list's word is heard", || async {
+        .until("the box is listed as leaving", || async {
             let table = fleet.table("show boxes").await?;
             let row = table
                 .rows
                 .iter()
                 .find(|row| row[0] == fleet.servers[0].name);
-            let standing = row.map(|row| row[4].clone()).unwrap_or_default();
-            Ok(if standing == "leaving" {
+            let state = row.map(|row| row[4].clone()).unwrap_or_default();
+            Ok(if state == "leaving" {
                 Ok(())
             } else {
-                Err(standing)
+                Err(state)
             })
         })
         .await?;
-    assert_eq!(fresh(0).await?, 0);
+    assert_eq!(count_new_runs(0).await?, 0);
     Ok(())
 }
 
 #[actix_rt::test]
-async fn overload_is_refused_at_once_with_when_to_come_back() -> Result<(), Error> {
+async fn overload_is_refused_with_a_retry_delay() -> Result<(), Error> {
     let fleet = start(Spec {
         capacity: 1,
         token_millis: 50,
@@ -405,20 +406,20 @@
             let caller = fleet.caller(number % 2);
             actix_rt::spawn(async move {
                 caller
-                    .call(Call::model(MODEL, &format!("busy {number}"), 20))
+                    .send(RequestSpec::model(MODEL, &format!("busy {number}"), 20))
                     .await
             })
         })
         .collect();
     let (mut answered, mut refused) = (0, 0);
     for call in calls {
-        let answer = call.await.expect("the call ends")?;
-        if answer.status == 200 {
-            assert!(answer.whole && answer.tokens().1, "{answer:?}");
+        let response = call.await.expect("the request ends")?;
+        if response.status == 200 {
+            assert!(response.is_complete && response.tokens().1, "{response:?}");
             answered += 1;
         } else {
-            assert_eq!(answer.outcome.as_deref(), Some("not-run"), "{answer:?}");
-            assert!(answer.come_back_millis.is_some(), "{answer:?}");
+            assert_eq!(response.outcome.as_deref(), Some("not-run"), "{response:?}");
+            assert!(response.retry_after_millis.is_some(), "{response:?}");
             refused += 1;
         }
     }
@@ -430,7 +431,7 @@
 }
 
 #[actix_rt::test]
-async fn bad_input_is_told_its_place_and_disturbs_nothing() -> Result<(), Error> {
+async fn invalid_input_is_reported_and_does_not_affect_other_requests() -> Result<(), Error> {
     use std::io::{Read, Write};
     let fleet = start(Spec {
         entry: "requests:\n  longest_body: 1kB\n".to_owned(),
@@ -438,57 +439,69 @@
     })
     .await?;
     let caller = fleet.caller(0);
-    let check = async |call: Call, status: u16, word: &str| -> Result<(), Error> {
-        let answer = caller.call(call).await?;
-        assert_eq!(answer.status, status, "{answer:?}");
-        assert!(answer.body.contains(word), "{answer:?}");
+    let check = async |call: RequestSpec, status: u16, word: &str| -> Result<(), Error> {
+        let response = caller.send(call).await?;
+        assert_eq!(response.status, status, "{response:?}");
+        assert!(response.body.contains(word), "{response:?}");
         Ok(())
     };
     check(
-        Call::new(Method::POST, "/v1/completions", b"{\"model\":".to_vec()),
+        RequestSpec::new(Method::POST, "/v1/completions", b"{\"model\":".to_vec()),
         400,
         "column",
     )
     .await?;
     check(
-        Call::new(Method::POST, "/v1/completions", vec![b' '; 2_000]),
+        RequestSpec::new(Method::POST, "/v1/completions", vec![b' '; 2_000]),
         413,
         "1000 bytes",
     )
     .await?;
-    check(Call::model("no-such-model", "p", 1), 404, "no-such-model").await?;
     check(
-        Call::model(MODEL, "p", 1).once("my-own-key"),
+        RequestSpec::model("no-such-model", "p", 1),
+        404,
+        "no-such-model",
+    )
+    .await?;
+    check(
+        RequestSpec::model(MODEL, "p", 1).once("my-own-key"),
         400,
         "/v1/tickets",
     )
     .await?;
     check(
-        Call::model(MODEL, "p", 1).header("gingerpier-repeatable", "maybe"),
+        RequestSpec::model(MODEL, "p", 1).header("gingerpier-repeatable", "maybe"),
         400,
         "`yes` or `no`",
     )
     .await?;
     check(
-        Call::new(Method::GET, "/elsewhere", Vec::new()),
+        RequestSpec::new(Method::GET, "/elsewhere", Vec::new()),
         404,
         "/services/NAME",
     )
     .await?;
     let stranger = Caller::new(fleet.entries[0].child.address("callers"), "wrong");
-    assert_eq!(stranger.call(Call::model(MODEL, "p", 1)).await?.status, 401);
+    assert_eq!(
+        stranger
+            .send(RequestSpec::model(MODEL, "p", 1))
+            .await?
+            .status,
+        401
+    );
     let entry = &fleet.entries[0].child;
-    let mut raw = std::net::TcpStream::connect(entry.address("callers")).expect("it listens");
+    let mut raw =
+        std::net::TcpStream::connect(entry.address("callers")).expect("entry box listens");
     raw.write_all(b"\x00\x01\x02 nonsense\r\n\r\n")
-        .expect("it reads");
-    let mut told = String::new();
-    let _ = raw.read_to_string(&mut told);
-    assert!(told.starts_with("HTTP/1.1 400"), "{told}");
+        .expect("bytes are sent");
+    let mut reply = String::new();
+    let _ = raw.read_to_string(&mut reply);
+    assert!(reply.starts_with("HTTP/1.1 400"), "{reply}");
     let udp = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     for child in [&entry, &&fleet.servers[0].child] {
         udp.send_to(&[0xff; 1_200], child.address("peers"))
-            .expect("it is sent");
+            .expect("datagram is sent");
     }
-    let answer = caller.call(Call::model(MODEL, "fine", 3)).await?;
-    check_whole(&fleet, &answer, "fine", 3).await
+    let response = caller.send(RequestSpec::model(MODEL, "fine", 3)).await?;
+    check_complete(&fleet, &response, "fine", 3).await
 }
--- a/crates/gingerpier_fleet/tests/weights.rs
+++ b/crates/gingerpier_fleet/tests/weights.rs
@@ -1,7 +1,7 @@
-//! Weights on real processes: what the origin is asked for, and what faults do.
+//! Weight distribution on real processes: origin traffic and faults.
 
 use {
-    gingerpier_fleet::{Caller, Error, Fleet, Spec, caller::Call, fleet::TOKEN, spec::Zone},
+    gingerpier_fleet::{Caller, Error, Fleet, Spec, caller::RequestSpec, fleet::TOKEN, spec::Zone},
     gingerpier_standins::{
         engine::Ordered,
         link,
@@ -48,7 +48,7 @@
 }
 
 #[actix_rt::test]
-async fn the_origin_is_read_once_for_four_replicas() -> Result<(), Error> {
+async fn origin_sends_one_copy_for_four_replicas() -> Result<(), Error> {
     let fleet = Fleet::start(spec()).await?;
     fleet.deploy(MODEL, MEGABYTES).await?;
     let counts = origin_counts(&fleet).await?;
@@ -57,7 +57,7 @@
 }
 
 #[actix_rt::test]
-async fn spoilt_chunks_are_found_and_fetched_again() -> Result<(), Error> {
+async fn corrupt_chunks_are_detected_and_refetched() -> Result<(), Error> {
     let fleet = Fleet::start(spec()).await?;
     let origin = fleet.origin.address("address");
     fleet
@@ -71,20 +71,20 @@
         .await?;
     fleet.deploy(MODEL, MEGABYTES).await?;
     let caller = Caller::new(fleet.entries[0].child.address("callers"), TOKEN);
-    let answer = caller.call(Call::model(MODEL, "p", 4)).await?;
-    assert!(answer.whole && answer.tokens().1, "{answer:?}");
-    // Each spoilt chunk was read once more, and nothing else was.
+    let response = caller.send(RequestSpec::model(MODEL, "p", 4)).await?;
+    assert!(response.is_complete && response.tokens().1, "{response:?}");
+    // Only the corrupt chunks were fetched twice.
     let counts = origin_counts(&fleet).await?;
-    let extra = counts.bytes - weights_bytes(&fleet, "v1");
+    let refetched_bytes = counts.bytes - weights_bytes(&fleet, "v1");
     assert!(
-        extra > 0 && extra <= 3 * 262_144,
-        "{extra} bytes read again"
+        refetched_bytes > 0 && refetched_bytes <= 3 * 262_144,
+        "{refetched_bytes} bytes read again"
     );
     Ok(())
 }
 
 #[actix_rt::test]
-async fn a_refusing_origin_is_left_alone_as_it_asks() -> Result<(), Error> {
+async fn refusing_origin_is_retried_only_after_its_delay() -> Result<(), Error> {
     let fleet = Fleet::start(spec()).await?;
     let origin = fleet.origin.address("address");
     fleet
@@ -104,8 +104,7 @@
 }
 
 #[actix_rt::test]
-async fn a_version_too_large_for_the_memory_is_refused_before_anything_moves() -> Result<(), Error>
-{
+async fn version_larger_than_chunk_memory_is_refused_before_transfer() -> Result<(), Error> {
     let weights = "  chunk_memory: 1MB\n".to_owned();
     let fleet = Fleet::start(Spec { weights, ..spec() }).await?;
     let (_, digest) = fleet.gingerpier(&["token", TOKEN]).await?;
@@ -120,13 +119,13 @@
         .await?;
     fleet.command(&format!("roll out {MODEL} to v1")).await?;
     fleet
-        .until("the refusal is told", || async {
+        .until("the refusal is reported", || async {
             let table = fleet.table("show engines in trivandrum").await?;
-            let told = table
+            let reported = table
                 .rows
                 .iter()
                 .any(|row| row[11].contains("chunk_memory"));
-            Ok(if told {
+            Ok(if reported {
                 Ok(())
             } else {
                 Err(format!("{:?}", table.rows))
@@ -137,7 +136,7 @@
     Ok(())
 }
 
-/// Rolls a first version of so many megabytes out, until some of its chunks have moved.
+/// Starts the rollout of a first version and waits until some of its chunks are transferred.
 async fn roll_out_midway(fleet: &Fleet, megabytes: usize) -> Result<(), Error> {
     let (_, digest) = fleet.gingerpier(&["token", TOKEN]).await?;
     let account = format!("set account observatory key {} rate 100", digest.trim());
@@ -151,10 +150,10 @@
         .await?;
     fleet.command(&format!("roll out {MODEL} to v1")).await?;
     fleet
-        .until("some chunks have moved", || async {
+        .until("some chunks are transferred", || async {
             let table = fleet.table("show loading").await?;
-            let moved = table.rows.iter().any(|row| !row[7].starts_with("0/"));
-            Ok(if moved {
+            let has_progress = table.rows.iter().any(|row| !row[7].starts_with("0/"));
+            Ok(if has_progress {
                 Ok(())
             } else {
                 Err(format!("{:?}", table.rows))
@@ -164,8 +163,7 @@
 }
 
 #[actix_rt::test]
-async fn a_receiver_killed_midway_and_started_anew_is_completed_by_its_peers() -> Result<(), Error>
-{
+async fn restarted_receiver_completes_from_its_peers() -> Result<(), Error> {
     let weights = "  send: 2MB/s\n  receive: 2MB/s\n".to_owned();
     let mut fleet = Fleet::start(Spec { weights, ..spec() }).await?;
     roll_out_midway(&fleet, 4).await?;
@@ -185,7 +183,7 @@
 }
 
 #[actix_rt::test]
-async fn a_newer_version_takes_the_place_of_one_under_way() -> Result<(), Error> {
+async fn replacing_rollout_supersedes_one_in_progress() -> Result<(), Error> {
     let weights = "  send: 2MB/s\n  receive: 2MB/s\n".to_owned();
     let fleet = Fleet::start(Spec { weights, ..spec() }).await?;
     fleet.deploy(MODEL, MEGABYTES).await?;
@@ -205,23 +203,23 @@
     fleet.until_live(MODEL, "v3").await?;
     let caller = Caller::new(fleet.entries[1].child.address("callers"), TOKEN);
     for _ in 0..8 {
-        let answer = caller.call(Call::model(MODEL, "p", 4)).await?;
-        assert_eq!(answer.version.as_deref(), Some("plate-notes@v3"));
+        let response = caller.send(RequestSpec::model(MODEL, "p", 4)).await?;
+        assert_eq!(response.version.as_deref(), Some("plate-notes@v3"));
     }
     Ok(())
 }
 
-/// Four backend servers that pass small chunks on at a slow pace.
-fn slow_spec(terms: &str) -> Spec {
+/// Four backend servers with small chunks and limited bandwidth.
+fn slow_spec(settings: &str) -> Spec {
     Spec {
-        weights: format!("  send: 500kB/s\n  receive: 500kB/s\n{terms}"),
+        weights: format!("  send: 500kB/s\n  receive: 500kB/s\n{settings}"),
         chunk_bytes: 65_536,
         ..spec()
     }
 }
 
-/// Lines about `event` in the log of a backend server.
-fn lines_about(fleet: &Fleet, server: usize, event: &str) -> Vec<String> {
+/// Log lines of a backend server that contain `event`.
+fn log_lines(fleet: &Fleet, server: usize, event: &str) -> Vec<String> {
     let name = &fleet.servers[server].name;
     let log = fleet.log(name);
     assert!(log.contains("event=started"), "{name} has no log");
@@ -233,28 +231,28 @@
 async fn deploy_without(event: &str, fleet: &Fleet) -> Result<(), Error> {
     fleet.deploy(MODEL, MEGABYTES).await?;
     for (index, server) in fleet.servers.iter().enumerate() {
-        assert_eq!(lines_about(fleet, index, event), [""; 0], "{}", server.name);
+        assert_eq!(log_lines(fleet, index, event), [""; 0], "{}", server.name);
     }
     Ok(())
 }
 
-/// Starts a fleet at a slow pace, deploys, and checks that no backend server logged `event`.
-async fn deploy_slowly_without(event: &str, terms: &str) -> Result<Fleet, Error> {
-    let fleet = Fleet::start(slow_spec(terms)).await?;
+/// Starts a fleet with limited bandwidth, deploys, and checks that no server logged `event`.
+async fn deploy_slowly_without(event: &str, settings: &str) -> Result<Fleet, Error> {
+    let fleet = Fleet::start(slow_spec(settings)).await?;
     deploy_without(event, &fleet).await?;
     Ok(fleet)
 }
 
 #[actix_rt::test]
-async fn a_source_that_was_given_up_adds_nothing_to_a_chunk() -> Result<(), Error> {
-    // So slow a pace, under so many chunks at once, that sources stall all the time.
+async fn abandoned_source_does_not_corrupt_a_chunk() -> Result<(), Error> {
+    // Low bandwidth and many concurrent chunks, so that sources stall all the time.
     deploy_slowly_without("chunk_corrupt", "  window: 24\n  stall: 300ms\n").await?;
     Ok(())
 }
 
 #[actix_rt::test]
 async fn nobody_gives_up_a_source_that_is_only_waiting_itself() -> Result<(), Error> {
-    // At this pace a chunk is awaited for longer than a stall may last, while others come.
+    // At this bandwidth a chunk takes longer than the stall timeout while others arrive.
     let fleet = deploy_slowly_without("source_stalled", "  stall: 1s\n").await?;
     let counts = origin_counts(&fleet).await?;
     assert_eq!(counts.bytes, weights_bytes(&fleet, "v1"));
@@ -262,17 +260,16 @@
 }
 
 #[actix_rt::test]
-async fn a_source_says_that_it_waits_as_often_when_it_waits_for_its_own_link() -> Result<(), Error>
-{
-    // Less than two words apart. A chunk that arrives is sent on only behind others, so that all
-    // questions wait twice: for their chunk, and for the link.
+async fn source_waiting_for_its_link_still_sends_pending_frames() -> Result<(), Error> {
+    // Shorter than two intervals of pending frames. Chunks also queue for the link, so that requests
+    // wait for the chunk and for the link.
     deploy_slowly_without("source_stalled", "  stall: 550ms\n").await?;
     Ok(())
 }
 
 #[actix_rt::test]
-async fn questions_at_a_far_source_do_not_queue_for_their_links() -> Result<(), Error> {
-    // One handshake fits well into a stall; a dozen, one after another, do not.
+async fn requests_to_distant_source_do_not_queue_for_handshakes() -> Result<(), Error> {
+    // One handshake takes less than the stall timeout; a dozen sequential ones take more.
     const DELAY_MILLIS: u64 = 60;
     let spec = Spec {
         links: true,
@@ -284,55 +281,55 @@
         ..link::Control::default()
     };
     for server in &fleet.servers {
-        let link = server.link.as_ref().expect("there is a link");
+        let link = server.link.as_ref().expect("link is configured");
         fleet.control(link.address("control"), &far).await?;
     }
     deploy_without("source_stalled", &fleet).await
 }
 
 #[actix_rt::test]
-async fn a_process_that_did_not_run_for_a_while_gives_up_no_source() -> Result<(), Error> {
-    // Longer than a stall may last, and shorter than a link may be silent.
-    const FROZEN: Duration = Duration::from_millis(1_500);
+async fn suspended_receiver_abandons_no_source() -> Result<(), Error> {
+    // Longer than the stall timeout, shorter than the idle timeout of a link.
+    const SUSPENSION: Duration = Duration::from_millis(1_500);
     let fleet = Fleet::start(slow_spec("  stall: 1s\n")).await?;
     roll_out_midway(&fleet, MEGABYTES).await?;
     let frozen = &fleet.servers[0].child;
     frozen.freeze();
-    actix_rt::time::sleep(FROZEN).await;
+    actix_rt::time::sleep(SUSPENSION).await;
     frozen.thaw();
     fleet.until_live(MODEL, "v1").await?;
-    // The others may have given it up: it did say nothing. It has no reason to give them up.
-    assert_eq!(lines_about(&fleet, 0, "source_stalled"), [""; 0]);
+    // Peers may abandon the silent process, but it must not abandon its sources.
+    assert_eq!(log_lines(&fleet, 0, "source_stalled"), [""; 0]);
     Ok(())
 }
 
 #[actix_rt::test]
 async fn a_source_that_did_not_run_for_less_than_a_stall_is_given_up_by_nobody() -> Result<(), Error>
 {
-    // A word may have been due just before; the rest of the stall is for speaking again.
-    const FROZEN: Duration = Duration::from_millis(350);
-    const RUNNING: Duration = Duration::from_millis(650);
+    // Leaves time within the stall timeout for a pending frame that was due before the suspension.
+    const SUSPENSION: Duration = Duration::from_millis(350);
+    const RUN_TIME: Duration = Duration::from_millis(650);
     const TIMES: usize = 4;
     let fleet = Fleet::start(slow_spec("  stall: 550ms\n")).await?;
     roll_out_midway(&fleet, MEGABYTES).await?;
     for server in fleet.servers.iter().cycle().take(TIMES) {
         server.child.freeze();
-        actix_rt::time::sleep(FROZEN).await;
+        actix_rt::time::sleep(SUSPENSION).await;
         server.child.thaw();
-        actix_rt::time::sleep(RUNNING).await;
+        actix_rt::time::sleep(RUN_TIME).await;
     }
     fleet.until_live(MODEL, "v1").await?;
     for index in 0..fleet.servers.len() {
-        assert_eq!(lines_about(&fleet, index, "source_stalled"), [""; 0]);
+        assert_eq!(log_lines(&fleet, index, "source_stalled"), [""; 0]);
     }
     Ok(())
 }
 
 #[actix_rt::test]
-async fn a_source_that_hears_late_of_its_assignment_is_waited_for() -> Result<(), Error> {
-    // Its peers have heard, and ask it on the links that the first version left.
-    const FROZEN: Duration = Duration::from_millis(1_200);
-    // One for each zone, so that the rollout has one step.
+async fn source_with_delayed_assignment_is_awaited() -> Result<(), Error> {
+    // Its peers know the assignment, and request chunks on the links that are already open.
+    const SUSPENSION: Duration = Duration::from_millis(1_200);
+    // One backend server per zone, so that the rollout has one step.
     let mut spec = slow_spec("");
     spec.zones.iter_mut().for_each(|zone| zone.backends = 1);
     let fleet = Fleet::start(spec).await?;
@@ -340,17 +337,17 @@
     fleet
         .create_version(MODEL, "v2", MEGABYTES, 2, None)
         .await?;
-    let late = &fleet.servers[0].child;
-    late.freeze();
+    let delayed = &fleet.servers[0].child;
+    delayed.freeze();
     let roll_out = format!("roll out {MODEL} to v2 steps 100");
     let rolled_out = fleet.command(&roll_out);
     let (rolled_out, ()) = futures_util::join!(rolled_out, async {
-        actix_rt::time::sleep(FROZEN).await;
-        late.thaw();
+        actix_rt::time::sleep(SUSPENSION).await;
+        delayed.thaw();
     });
     rolled_out?;
     fleet.until_live(MODEL, "v2").await?;
-    let wanted = weights_bytes(&fleet, "v1") + weights_bytes(&fleet, "v2");
-    assert_eq!(origin_counts(&fleet).await?.bytes, wanted);
+    let expected_bytes = weights_bytes(&fleet, "v1") + weights_bytes(&fleet, "v2");
+    assert_eq!(origin_counts(&fleet).await?.bytes, expected_bytes);
     Ok(())
 }
