--- a/crates/gingerpier_catalogue/src/error.rs
+++ b/crates/gingerpier_catalogue/src/error.rs
@@ -16,15 +16,15 @@
     },
     /// there is no client account `{0}`; `show accounts` lists them
     UnknownAccount(Name),
-    /// `{0}` already exists; choose another name
+    /// `{0}` exists already; choose another name
     Exists(Name),
-    /// the base of an adapter must be a model, but `{0}` is an adapter
+    /// an adapter's base must be a model, and `{0}` is itself an adapter
     BaseIsAdapter(Name),
-    /// `{0}` is an adapter: specify its base version with `base VERSION`
+    /// `{0}` is an adapter: name the base version it belongs to with `base VERSION`
     BaseMissing(Name),
-    /// `{0}` is not an adapter: omit `base`
+    /// `{0}` is no adapter: leave out `base`
     BaseUnwanted(Name),
-    /// steps must be ascending percentages that end with 100, such as `steps 10,50,100`
+    /// steps are percentages that rise to 100, as in `steps 10,50,100`
     Steps,
     /// `{model}` is being rolled out to `{to}` since revision {since}; wait, `go back {model}`, or add `replacing`
     RolloutActive {
@@ -35,41 +35,41 @@
         /// Revision that started the rollout.
         since: Revision,
     },
-    /// `{0}` has no rollout in progress
+    /// `{0}` has no rollout under way
     NoRollout(Name),
-    /// `{model}` already serves `{version}`
+    /// `{model}` serves `{version}` already
     AlreadyLive {
         /// Model or adapter.
         model: Name,
         /// Version in the command.
         version: Name,
     },
-    /// `{0}` has no previous version to go back to
+    /// `{0}` has no version before this one to go back to
     NoEarlier(Name),
-    /// the rollout of `{0}` is no longer at this step
+    /// the rollout of `{0}` has moved on
     StepMoved(Name),
-    /// `{0}` is in use: it is live, being rolled out, assigned to an engine, or referenced by other objects
+    /// `{0}` is in use: it is live, rolled out, assigned, or the base of another
     InUse(Name),
-    /// `{0}` has been commanded to stop, which cannot be undone
+    /// `{0}` was commanded to stop, which is not taken back
     Stopping(Name),
     /// `{0}` is not drained
     NotDrained(Name),
-    /// the rollout of `{0}` is already paused
+    /// `{0}` is held already
     AlreadyPaused(Name),
-    /// the rollout of `{0}` is not paused
+    /// `{0}` is not held
     NotPaused(Name),
-    /// engine `{0}` has no assigned version
+    /// engine `{0}` has no version assigned
     NotAssigned(Name),
-    /// `{0}` is an adapter: it is loaded with its base and cannot be assigned to an engine
+    /// an adapter is held wherever its base is; `{0}` is not assigned to engines
     AdapterAssigned(Name),
-    /// record has revision {got}, which does not follow revision {have}
+    /// record {got} does not follow revision {have}
     NotNext {
         /// Current revision of the catalogue.
         have: Revision,
         /// Revision of the record.
         got: Revision,
     },
-    /// stored state cannot be decoded: {0}
+    /// the stored state can't be read: {0}
     Unreadable(String),
 }
 
--- a/crates/gingerpier_daemon/src/backend/attempts.rs
+++ b/crates/gingerpier_daemon/src/backend/attempts.rs
@@ -237,9 +237,7 @@
             return Outcome::Incomplete(reason);
         }
         if !has_detectable_end(&response) {
-            return Outcome::Incomplete(
-                "the engine's response gives neither a length nor a transfer encoding".to_owned(),
-            );
+            return Outcome::Incomplete("the engine's answer has no mark of its end".to_owned());
         }
         let head = Reply::Head(Head {
             status: response.status.as_u16(),
@@ -300,12 +298,10 @@
             .and_then(|text| text.parse::<Digest>().ok())
     };
     if parse_header(WEIGHTS_HEADER) != Some(weights) {
-        return Err(format!(
-            "the response is not from the assigned version {weights}"
-        ));
+        return Err(format!("the answer is not of the version {weights}"));
     }
     if attempt.adapter.is_some() && parse_header(ADAPTER_HEADER) != attempt.adapter {
-        return Err("the response is not from the requested adapter".to_owned());
+        return Err("the answer is not of the adapter asked for".to_owned());
     }
     Ok(())
 }
--- a/crates/gingerpier_daemon/src/backend/chunk_requests.rs
+++ b/crates/gingerpier_daemon/src/backend/chunk_requests.rs
@@ -198,8 +198,7 @@
 
     async fn read_from_peer(&self, wait: bool) -> Result<(), Failure> {
         let peer = self.fetch.peer(self.source);
-        let peer =
-            peer.ok_or_else(|| Failure::Failed("the peer is not in the current plan".to_owned()))?;
+        let peer = peer.ok_or_else(|| Failure::Failed("the plan has moved on".to_owned()))?;
         let link = self.backend.connect_to(&peer).await?;
         let mut stream = link.open().await?;
         let offset = self.partial_length();
--- a/crates/gingerpier_daemon/src/backend/engines.rs
+++ b/crates/gingerpier_daemon/src/backend/engines.rs
@@ -452,10 +452,10 @@
         );
         let reason = if engine_fence > revision {
             format!(
-                "the engine has fence {engine_fence}, newer than revision {revision} of this server"
+                "the engine has seen fence {engine_fence}, and revision {revision} is in force here"
             )
         } else if !checks_fences && !self.is_confirmed() {
-            "the key-value service has not confirmed the current revision to this server".to_owned()
+            "the key-value service has not confirmed the revision in force here".to_owned()
         } else {
             return Ok(());
         };
@@ -490,10 +490,10 @@
         self.send_order(upstream, prepare).await?;
         for (index, digest) in manifest.chunks.iter().enumerate() {
             if self.desired_versions(upstream).as_ref() != Some(desired) {
-                return Err("another version was assigned during the load".to_owned());
+                return Err("another version was assigned meanwhile".to_owned());
             }
             let chunk = self.weights.chunk(*digest);
-            let chunk = chunk.ok_or_else(|| format!("chunk {index} is no longer cached"))?;
+            let chunk = chunk.ok_or_else(|| format!("chunk {index} is no longer held"))?;
             let fence = self.process.catalogue_state.revision().0;
             let sent = upstream
                 .client
--- a/crates/gingerpier_daemon/src/backend/fetches.rs
+++ b/crates/gingerpier_daemon/src/backend/fetches.rs
@@ -136,8 +136,7 @@
     pub fn fetch(&self, version: Digest) -> Result<Rc<VersionFetch>, String> {
         let catalogue = self.process.catalogue_state.catalogue();
         let key = catalogue.version_of_digest(version);
-        let key =
-            key.ok_or_else(|| format!("no version in the catalogue has the manifest {version}"))?;
+        let key = key.ok_or_else(|| format!("no version has the manifest {version}"))?;
         self.weights
             .reserve(version, catalogue.version(key).bytes)?;
         if let Some(fetch) = self.weights.fetch(version) {
@@ -386,8 +385,7 @@
                     Err(Failure::Failed(error)) => last_error = Some(error),
                     Err(Failure::Busy(until)) => {
                         retry_at = until;
-                        last_error =
-                            Some("the origin is overloaded and requested a later retry".to_owned());
+                        last_error = Some("the origin asks to come back later".to_owned());
                     }
                 }
             }
@@ -416,7 +414,7 @@
         };
         let peer = replicas
             .get(key.0 as usize)
-            .ok_or_else(|| "the peer is not in the current plan".to_owned())?;
+            .ok_or_else(|| "the plan has moved on".to_owned())?;
         let wait = matches!(source, Source::Replica(_));
         let link = self.connect_to(peer).await?;
         let mut stream = link.open().await?;
@@ -434,8 +432,7 @@
             }
         };
         let bytes = actix_rt::time::timeout(Duration::from_millis(MAX_WAIT_MILLIS), bytes).await;
-        let bytes =
-            bytes.map_err(|_| format!("{} did not send the manifest in time", peer.name))?;
+        let bytes = bytes.map_err(|_| format!("{} gave no manifest in time", peer.name))?;
         let bytes = bytes.map_err(|error: gingerpier_link::Error| Failure::from(error))?;
         let bytes = bytes.ok_or_else(|| format!("{} does not have the manifest", peer.name))?;
         let manifest = Manifest::from_bytes(&bytes, version).map_err(|error| error.to_string())?;
--- a/crates/gingerpier_daemon/src/backend/peers.rs
+++ b/crates/gingerpier_daemon/src/backend/peers.rs
@@ -163,7 +163,7 @@
             }
             _ => {
                 tracing::warn!(event = "request_refused", peer = %link.peer(),
-                    why = "the peer's role does not permit this request");
+                    why = "the peer's role may not ask this");
                 stream.reset();
             }
         }
--- a/crates/gingerpier_daemon/src/entry/callers.rs
+++ b/crates/gingerpier_daemon/src/entry/callers.rs
@@ -132,8 +132,7 @@
         }
         if self.process.is_leaving() {
             let retry_after = Some(Duration::from_millis(1));
-            let message =
-                "this entry box is shutting down; send the request to another one".to_owned();
+            let message = "this entry box is leaving; another one serves at once".to_owned();
             return Err(ErrorResponse {
                 status: 503,
                 outcome: "not-run",
@@ -153,7 +152,7 @@
             }
             _ => Err(ErrorResponse::not_run(
                 404,
-                "paths for callers are /v1/..., /v1/tickets, /v1/models and /services/NAME/...",
+                "callers ask /v1/..., /v1/tickets, /v1/models or /services/NAME/...",
             )),
         }
     }
@@ -163,8 +162,7 @@
         let token = token
             .as_deref()
             .and_then(|value| value.strip_prefix("Bearer "));
-        let message =
-            "the request needs a client account's token, as in `Authorization: Bearer TOKEN`";
+        let message = "a client account's token is wanted, as in `Authorization: Bearer TOKEN`";
         let token = token.ok_or_else(|| ErrorResponse::not_run(401, message))?;
         let catalogue = self.process.catalogue_state.catalogue();
         let account = catalogue.account_of_key(Digest::of(token.as_bytes()));
@@ -378,7 +376,7 @@
         admitted.map_err(|at| ErrorResponse {
             status: 429,
             outcome: "not-run",
-            message: "the client account has exceeded its limit or its share".to_owned(),
+            message: "the client account is over its limit or its share".to_owned(),
             retry_after: Some(Duration::from_millis(at.millis_since(now).max(1))),
         })
     }
@@ -408,15 +406,15 @@
             Verdict::Granted(number) => Ok(Some(Grant { ticket, number })),
             Verdict::Running => Err(conflict(
                 "unknown",
-                "an earlier request with this ticket is running",
+                "an earlier try with this ticket runs now",
             )),
             Verdict::Answered => Err(conflict(
                 "answered",
-                "an earlier request with this ticket ran and got its response",
+                "an earlier try with this ticket ran and was answered",
             )),
             Verdict::Unknown => Err(conflict(
                 "unknown",
-                "an earlier request with this ticket may have run; its result is unknown",
+                "an earlier try with this ticket may have run, and its owner can't tell",
             )),
             Verdict::Forged => Err(ErrorResponse::not_run(
                 400,
@@ -464,15 +462,12 @@
 
 fn final_error(reason: Reason, outcome: &'static str) -> ErrorResponse {
     let (status, message) = match reason {
-        Reason::NoneFree(_) => (503, "no engine can accept the request now"),
+        Reason::NoneFree(_) => (503, "no engine may take the request now"),
         Reason::Deadline => (504, "the deadline of the request has passed"),
-        Reason::Retries => (503, "all attempts were refused"),
-        Reason::LinkLost => (
-            502,
-            "the connection to the backend server was lost during the request",
-        ),
-        Reason::Broken => (502, "the engine failed during the request"),
-        Reason::CallerGone => (499, "the caller disconnected"),
+        Reason::Retries => (503, "all tries were refused"),
+        Reason::LinkLost => (502, "the backend server was lost while it had the request"),
+        Reason::Broken => (502, "the engine failed while it had the request"),
+        Reason::CallerGone => (499, "the caller went away"),
     };
     let retry_after = Some(retry_after(reason, clock::now()));
     ErrorResponse {
@@ -536,7 +531,7 @@
             // Ends the connection without the end of the body, so that the caller detects the
             // abort.
             Some(BodyPart::Aborted) | None => {
-                Some((Err(io::Error::other("the response was aborted")), None))
+                Some((Err(io::Error::other("the answer broke off")), None))
             }
         }
     });
--- a/crates/gingerpier_daemon/src/entry/links.rs
+++ b/crates/gingerpier_daemon/src/entry/links.rs
@@ -219,7 +219,7 @@
             other => Err(Error::new(
                 Step::Receive,
                 &peer,
-                format!("expected Hello, received {other:?}"),
+                format!("{other:?} for a greeting"),
             )),
         }
     }
--- a/crates/gingerpier_daemon/src/entry/operators.rs
+++ b/crates/gingerpier_daemon/src/entry/operators.rs
@@ -67,10 +67,7 @@
             }
         };
         if request.method() != Method::POST || request.path() != operate::PATH {
-            return answer::text(
-                404,
-                &format!("statements are sent by POST to {}", operate::PATH),
-            );
+            return answer::text(404, &format!("operators ask POST {}", operate::PATH));
         }
         match body::json::<Asked>(&mut request, MAX_BODY_BYTES).await {
             Ok(request) => answer::json(200, &self.execute(&author, &request).await),
@@ -180,12 +177,11 @@
 /// Returns the operator that the connection's certificate names.
 fn authenticate_operator(request: &Request) -> Result<PeerIdentity, String> {
     let certificate_data = request.conn_data::<Certificate>();
-    let certificate_data =
-        certificate_data.ok_or_else(|| "the client sent no certificate".to_owned())?;
+    let certificate_data = certificate_data.ok_or_else(|| "no certificate was shown".to_owned())?;
     let certificate = CertificateDer::from(certificate_data.0.as_slice());
     let peer = PeerIdentity::from_certificate(&certificate).map_err(|error| error.to_string())?;
     match peer.role {
         Role::Operator => Ok(peer),
-        _ => Err(format!("{peer} is not an operator")),
+        _ => Err(format!("{peer} is no operator")),
     }
 }
--- a/crates/gingerpier_daemon/src/entry/peers.rs
+++ b/crates/gingerpier_daemon/src/entry/peers.rs
@@ -40,7 +40,7 @@
         };
         if link.peer().role != Role::Entry {
             tracing::warn!(event = "request_refused", peer = %link.peer(),
-                why = "the peer's role does not permit this request");
+                why = "the peer's role may not ask this");
             stream.reset();
             return;
         }
--- a/crates/gingerpier_daemon/src/entry/store.rs
+++ b/crates/gingerpier_daemon/src/entry/store.rs
@@ -171,7 +171,7 @@
     /// Queues a change and waits for its result.
     pub async fn submit(&self, entry: LogEntry, fence: Option<Fence>) -> SubmitResult {
         let (result_sender, result_receiver) = oneshot::channel();
-        let process_ended = || SubmitResult::Unknown("the process is shutting down".to_owned());
+        let process_ended = || SubmitResult::Unknown("the process ends".to_owned());
         if self
             .store
             .sender
--- a/crates/gingerpier_daemon/src/entry/tickets.rs
+++ b/crates/gingerpier_daemon/src/entry/tickets.rs
@@ -86,7 +86,7 @@
         Error::new(
             gingerpier_link::Step::Receive,
             link.peer(),
-            "no response before the timeout",
+            "no answer in time",
         )
     };
     actix_rt::time::timeout(RESPONSE_TIMEOUT, response)
--- a/crates/gingerpier_daemon/src/error.rs
+++ b/crates/gingerpier_daemon/src/error.rs
@@ -12,7 +12,7 @@
         /// Cause.
         cause: std::io::Error,
     },
-    /// {path} has errors:
+    /// {path} has mistakes:
     /// {problems}
     Settings {
         /// Settings file.
@@ -20,12 +20,12 @@
         /// All errors found.
         problems: gingerpier_settings::Problems,
     },
-    /// {path} is for an operator's client; the role of a daemon is entry or backend
+    /// {path} is for an operator's desk; a daemon's role is entry or backend
     Role {
         /// Settings file.
         path: PathBuf,
     },
-    /// the certificate in {keys} is issued for {actual}, but the settings name {expected}
+    /// the keys in {keys} are for {actual}, and the settings are for {expected}
     Identity {
         /// Directory of keys and certificates.
         keys: PathBuf,
--- a/crates/gingerpier_gateway/src/error.rs
+++ b/crates/gingerpier_gateway/src/error.rs
@@ -7,26 +7,26 @@
 pub enum Step {
     /// listen for callers
     ListenCallers,
-    /// listen for readiness checks
+    /// listen for readiness
     ListenReadiness,
     /// listen for other gateways
     ListenControl,
     /// listen for peers
     ListenPeers,
-    /// handle signals
+    /// take signals
     Signals,
     /// connect
     Connect,
-    /// exchange request and response
+    /// exchange
     Exchange,
-    /// parse the response
+    /// read the answer
     Parse,
 }
 
 /// Failed operation at a peer or at an own address.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// can't {step} at {peer}: {cause}
+    /// {step} at {peer}: {cause}
     Io {
         /// Operation.
         step: Step,
@@ -35,7 +35,7 @@
         /// Cause.
         cause: std::io::Error,
     },
-    /// can't {step} at {peer}: {cause}
+    /// {step} at {peer}: {cause}
     Http {
         /// Operation.
         step: Step,
@@ -44,7 +44,7 @@
         /// Cause.
         cause: gingerpier_http1::error::Error,
     },
-    /// can't {step} at {peer}: {cause}
+    /// {step} at {peer}: {cause}
     Response {
         /// Operation.
         step: Step,
@@ -53,7 +53,7 @@
         /// Cause.
         cause: platform_api::Error,
     },
-    /// can't {step} at {peer}: timed out
+    /// {step} at {peer}: no answer in time
     Timeout {
         /// Operation.
         step: Step,
--- a/crates/gingerpier_link/src/credentials.rs
+++ b/crates/gingerpier_link/src/credentials.rs
@@ -57,7 +57,7 @@
         let to_error = |cause: String| Error::new(Step::ReadKeys, folder.display(), cause);
         let own_certificate = chain
             .first()
-            .ok_or_else(|| to_error("cert.pem contains no certificate".to_owned()))?;
+            .ok_or_else(|| to_error("cert.pem holds no certificate".to_owned()))?;
         let identity = Identity::from_certificate(own_certificate)?;
         let key = PrivateKeyDer::from_pem_file(folder.join(KEY_FILE));
         let key = key.map_err(|cause| to_error(cause.to_string()))?;
--- a/crates/gingerpier_link/src/endpoint.rs
+++ b/crates/gingerpier_link/src/endpoint.rs
@@ -88,7 +88,7 @@
     pub fn address(&self) -> Result<SocketAddr, Error> {
         self.inner
             .local_addr()
-            .map_err(|cause| Error::new(Step::Bind, "local socket", cause))
+            .map_err(|cause| Error::new(Step::Bind, "own socket", cause))
     }
 
     /// Uses new keys for future links.
@@ -157,7 +157,7 @@
             .and_then(|any| any.downcast::<Vec<CertificateDer<'_>>>().ok());
         let certificates = certificates.and_then(|chain| chain.first().cloned());
         let certificate =
-            certificates.ok_or_else(|| to_error("peer presented no certificate".to_owned()))?;
+            certificates.ok_or_else(|| to_error("no certificate was shown".to_owned()))?;
         let peer = Identity::from_certificate(&certificate)?;
         Ok(Link { inner, peer })
     }
--- a/crates/gingerpier_link/src/error.rs
+++ b/crates/gingerpier_link/src/error.rs
@@ -13,7 +13,7 @@
     Bind,
     /// connecting
     Connect,
-    /// authenticating
+    /// checking the certificate
     Authenticate,
     /// opening a stream
     Open,
--- a/crates/gingerpier_link/src/identity.rs
+++ b/crates/gingerpier_link/src/identity.rs
@@ -43,7 +43,7 @@
     pub fn from_certificate(certificate: &CertificateDer<'_>) -> Result<Self, Error> {
         let error = |cause: &str| Error::new(Step::Authenticate, "certificate", cause);
         let (_, parsed) = X509Certificate::from_der(certificate)
-            .map_err(|_| error("certificate cannot be parsed"))?;
+            .map_err(|_| error("the certificate can't be read"))?;
         let names = parsed.subject_alternative_name().ok().flatten();
         let names = names
             .map(|names| names.value.general_names.as_slice())
@@ -52,7 +52,7 @@
             GeneralName::DNSName(name) => Self::from_server_name(name),
             _ => None,
         });
-        identity.ok_or_else(|| error("certificate contains no role and name"))
+        identity.ok_or_else(|| error("the certificate names no role and box"))
     }
 }
 
--- a/crates/gingerpier_link/src/stream.rs
+++ b/crates/gingerpier_link/src/stream.rs
@@ -129,7 +129,7 @@
             .read_chunk(max_bytes.min(MAX_READ_BYTES), true)
             .await;
         let chunk = read.map_err(|cause| self.error(Step::Receive, cause))?;
-        let chunk = chunk.ok_or_else(|| self.error(Step::Receive, "stream ended early"))?;
+        let chunk = chunk.ok_or_else(|| self.error(Step::Receive, "the stream ended early"))?;
         Ok(chunk.bytes)
     }
 
--- a/crates/gingerpier_once/src/ticket.rs
+++ b/crates/gingerpier_once/src/ticket.rs
@@ -25,7 +25,7 @@
     pub seal: u64,
 }
 
-/// the idempotency key `{0}` is not a ticket; request one with `POST /v1/tickets`
+/// a key for a request that must not run twice is a ticket from `POST /v1/tickets`, and `{0}` is none
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub struct Error(pub String);
 
--- a/crates/gingerpier_services/src/error.rs
+++ b/crates/gingerpier_services/src/error.rs
@@ -9,9 +9,9 @@
     ReadKey,
     /// writing keys
     WriteKeys,
-    /// renewing a lease
+    /// holding a lease
     Lease,
-    /// watching a key
+    /// watching
     Watch,
     /// reading the box list
     ReadBoxList,
@@ -19,11 +19,11 @@
     ReadManifest,
     /// reading weights
     ReadWeights,
-    /// polling the status of an engine
+    /// asking an engine
     AskEngine,
-    /// sending weights to an engine
+    /// giving an engine weights
     GiveWeights,
-    /// sending an order to an engine
+    /// ordering an engine
     OrderEngine,
     /// running a request
     Run,
@@ -32,17 +32,17 @@
 /// Cause of an error.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Fault {
-    /// connection failed
+    /// it can't be reached
     Unreachable,
-    /// service is busy
+    /// it refuses calls for now
     Busy(Instant),
-    /// no complete response: {0}
+    /// no answer came: {0}
     Unanswered(String),
-    /// request refused: {0}
+    /// it refuses: {0}
     Refused(String),
-    /// not found
+    /// it does not have it
     Missing,
-    /// response cannot be decoded: {0}
+    /// its answer can't be read: {0}
     Unreadable(String),
 }
 
--- a/crates/gingerpier_services/src/exchange.rs
+++ b/crates/gingerpier_services/src/exchange.rs
@@ -84,7 +84,7 @@
                 })
             }
             Ok(Err(error)) => Err(classify(&error)),
-            Err(_) => Err(Fault::Unanswered("response timed out".to_owned())),
+            Err(_) => Err(Fault::Unanswered("no answer in time".to_owned())),
         }
     }
 }
--- a/crates/gingerpier_services/src/http.rs
+++ b/crates/gingerpier_services/src/http.rs
@@ -99,7 +99,7 @@
             Ok(Ok(response)) => Ok(response),
             Ok(Err(SendRequestError::Connect(_))) => Err(self.error(Fault::Unreachable)),
             Ok(Err(error)) => Err(self.error(Fault::Unanswered(error.to_string()))),
-            Err(_) => Err(self.error(Fault::Unanswered("response timed out".to_owned()))),
+            Err(_) => Err(self.error(Fault::Unanswered("no answer in time".to_owned()))),
         }
     }
 
@@ -113,7 +113,7 @@
             Ok(None) => Ok(None),
             Ok(Some(Ok(part))) => Ok(Some(part)),
             Ok(Some(Err(error))) => Err(self.error(Fault::Unanswered(error.to_string()))),
-            Err(_) => Err(self.error(Fault::Unanswered("the response stalled".to_owned()))),
+            Err(_) => Err(self.error(Fault::Unanswered("the answer stalled".to_owned()))),
         }
     }
 
@@ -126,7 +126,7 @@
         let mut body = BytesMut::new();
         while let Some(part) = self.part(response).await? {
             if body.len() + part.len() > MAX_BODY_BYTES {
-                return Err(self.error(Fault::Unreadable("response body is too long".to_owned())));
+                return Err(self.error(Fault::Unreadable("it is too long".to_owned())));
             }
             body.extend_from_slice(&part);
         }
--- a/crates/gingerpier_services/src/key_value.rs
+++ b/crates/gingerpier_services/src/key_value.rs
@@ -228,7 +228,7 @@
         let decoded: RangeResponse = call.json(&mut response).await?;
         let items = decoded.kvs.into_iter().map(to_item);
         let items: Option<Vec<Item>> = items.collect();
-        items.ok_or_else(|| call.error(Fault::Unreadable("item is malformed".to_owned())))
+        items.ok_or_else(|| call.error(Fault::Unreadable("a key is no text".to_owned())))
     }
 
     /// Commits a change; returns false if a guard did not match.
--- a/crates/gingerpier_services/src/weight_source.rs
+++ b/crates/gingerpier_services/src/weight_source.rs
@@ -89,9 +89,7 @@
             request.insert_header((header::RANGE, format!("bytes={}-{last}", span.offset)));
         let mut response = call.answer(request.send()).await?;
         if response.status() != StatusCode::PARTIAL_CONTENT {
-            return Err(call.error(Fault::Refused(
-                "source does not support byte ranges".to_owned(),
-            )));
+            return Err(call.error(Fault::Refused("it does not serve byte ranges".to_owned())));
         }
         let mut bytes_left = span.length;
         while let Some(part) = call.part(&mut response).await? {
--- a/crates/gingerpier_serving/src/shedding.rs
+++ b/crates/gingerpier_serving/src/shedding.rs
@@ -60,7 +60,7 @@
         let found = Self::ALL
             .into_iter()
             .find(|policy| policy.to_string().replace(' ', "-") == text);
-        found.ok_or_else(|| format!("unknown return policy: {text}"))
+        found.ok_or_else(|| format!("no way is called {text}"))
     }
 }
 
--- a/crates/gingerpier_weights/src/manifest.rs
+++ b/crates/gingerpier_weights/src/manifest.rs
@@ -54,25 +54,25 @@
 pub enum Error {
     /// the manifest can't be decoded: {0}
     Decode(String),
-    /// the manifest's digest is {found}, but the version requires {wanted}
+    /// the manifest's digest is {found}, and the version names {wanted}
     Digest {
         /// Digest required by the version.
         wanted: Digest,
         /// Digest of the manifest read.
         found: Digest,
     },
-    /// manifest format {0} is not supported
+    /// manifest format {0} is not known here
     Format(u32),
     /// the chunk size {0} is not between 1 and 67108864 bytes
     ChunkBytes(u32),
-    /// the file sizes require {wanted} chunks, but the manifest lists {found}
+    /// the files make {wanted} chunks, and the manifest lists {found}
     Count {
         /// Chunks required by the file sizes.
         wanted: u64,
         /// Chunks listed.
         found: u64,
     },
-    /// the path `{0}` is outside the version's folder
+    /// the path `{0}` leaves the version's folder
     Path(String),
 }
 
--- a/crates/gingerpier_weights/src/memory.rs
+++ b/crates/gingerpier_weights/src/memory.rs
@@ -5,7 +5,7 @@
 
 use {displaydoc::Display, gingerpier_base::Digest, std::collections::BTreeMap};
 
-/// the version needs {needed} bytes, but only {free} of {budget} bytes are available; raise `chunk_memory` or assign fewer versions
+/// the version takes {needed} bytes and {free} of {budget} bytes are free; raise `chunk_memory` or assign less
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub struct InsufficientMemory {
     /// Requested bytes.
--- a/crates/gingerpier_wire/src/codec.rs
+++ b/crates/gingerpier_wire/src/codec.rs
@@ -13,9 +13,9 @@
 /// Error of encoding or decoding a frame.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Error {
-    /// frame of {0} bytes exceeds the maximum of 4194304 bytes
+    /// the frame has {0} bytes, and the longest has 4194304
     TooLong(usize),
-    /// frame cannot be decoded: {0}
+    /// the frame can't be decoded: {0}
     Decode(String),
 }
 
