--- a/crates/gingerpier_serving/src/budget.rs
+++ b/crates/gingerpier_serving/src/budget.rs
@@ -41,8 +41,8 @@
     }
 
     /// Records the current number of gateways; only a new maximum has an effect.
-    pub fn record_gateway_count(&mut self, members: u32) {
-        self.limits.gateways = self.limits.gateways.max(members);
+    pub fn record_gateway_count(&mut self, gateways: u32) {
+        self.limits.gateways = self.limits.gateways.max(gateways);
     }
 
     /// Records the first attempt of a request.
