--- a/crates/gingerpier_benches/benches/control.rs
+++ b/crates/gingerpier_benches/benches/control.rs
@@ -119,7 +119,7 @@
     let spec = Spec {
         zones: vec![zone("zagreb"), zone("split"), zone("vienna")],
         engines: 1,
-        engines_here: true,
+        engines_in_process: true,
         services: Vec::new(),
         ..Spec::small()
     };
--- a/crates/gingerpier_catalogue/src/model.rs
+++ b/crates/gingerpier_catalogue/src/model.rs
@@ -98,7 +98,7 @@
 
 impl Rollout {
     /// Percentage of the replicas that the current step requires to load the version.
-    pub fn wanted_percent(&self) -> u8 {
+    pub fn required_percent(&self) -> u8 {
         let reached = self.reached as usize;
         let index = if self.paused {
             reached.checked_sub(1)
@@ -112,7 +112,7 @@
     }
 
     /// True if the version may receive traffic.
-    pub const fn takes_traffic(&self) -> bool {
+    pub const fn receives_traffic(&self) -> bool {
         self.reached > 0
     }
 }
--- a/crates/gingerpier_catalogue/src/state.rs
+++ b/crates/gingerpier_catalogue/src/state.rs
@@ -17,7 +17,7 @@
 };
 
 /// Number of recent accepted requests whose identities are kept to detect retries.
-pub const REMEMBERED: usize = 1_024;
+pub const MAX_RECENT_ACCEPTANCES: usize = 1_024;
 
 /// The configuration at one revision.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Encode, Decode)]
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Returns an error if there is no such model.
-    pub fn model_named(&self, name: &Name) -> Result<ModelKey, Error> {
+    pub fn model_key_by_name(&self, name: &Name) -> Result<ModelKey, Error> {
         let index = self.models.iter().position(|model| model.name == *name);
         let index = index.ok_or_else(|| Error::UnknownModel(name.clone()))?;
         Ok(ModelKey(index as u32))
@@ -111,7 +111,7 @@
     /// # Errors
     ///
     /// Returns an error if the model has no such version.
-    pub fn version_named(&self, model: ModelKey, name: &Name) -> Result<VersionKey, Error> {
+    pub fn version_key_by_name(&self, model: ModelKey, name: &Name) -> Result<VersionKey, Error> {
         let found = self
             .versions()
             .find(|(_, version)| version.model == model && version.name == *name);
@@ -123,7 +123,7 @@
     }
 
     /// Key of the version whose manifest has `digest`.
-    pub fn version_of_digest(&self, digest: Digest) -> Option<VersionKey> {
+    pub fn version_by_digest(&self, digest: Digest) -> Option<VersionKey> {
         self.versions()
             .find(|(_, version)| version.manifest == digest)
             .map(|(key, _)| key)
@@ -141,7 +141,7 @@
     }
 
     /// Account whose bearer token has `digest`.
-    pub fn account_of_key(&self, digest: Digest) -> Option<&Account> {
+    pub fn account_by_key(&self, digest: Digest) -> Option<&Account> {
         self.accounts.iter().find(|account| account.key == digest)
     }
 
@@ -160,7 +160,7 @@
         &self.withdrawals
     }
 
-    /// Revision at which the request with `identity` was accepted, among the last [`REMEMBERED`].
+    /// Revision at which the request with `identity` was accepted, among the last [`MAX_RECENT_ACCEPTANCES`].
     pub fn accepted(&self, identity: Identity) -> Option<Revision> {
         let found = self
             .recent_acceptances
@@ -176,7 +176,7 @@
         let rollout = model
             .rollout
             .iter()
-            .filter(|rollout| rollout.takes_traffic());
+            .filter(|rollout| rollout.receives_traffic());
         let to = rollout
             .map(|rollout| rollout.to)
             .filter(|to| !model.live.contains(to));
@@ -184,7 +184,7 @@
     }
 
     /// Adapter versions that engines with base version `base` in `zone` must load.
-    pub fn adapters_on(&self, base: VersionKey, zone: &Name) -> Vec<VersionKey> {
+    pub fn required_adapters(&self, base: VersionKey, zone: &Name) -> Vec<VersionKey> {
         let base_model = self.version(base).model;
         let is_served = |model: &&Model| {
             model.base == Some(base_model)
@@ -265,7 +265,7 @@
     }
 
     /// Replaces the catalogue by a newer snapshot; returns true if it was replaced.
-    pub fn advance_to(&mut self, snapshot: Self) -> bool {
+    pub fn replace_if_newer(&mut self, snapshot: Self) -> bool {
         let newer = snapshot.revision > self.revision;
         if newer {
             *self = snapshot;
@@ -278,7 +278,7 @@
     /// # Errors
     ///
     /// Returns an error if a command is invalid.
-    pub fn try_commands(&self, commands: &[Command]) -> Result<Self, Error> {
+    pub fn preview_commands(&self, commands: &[Command]) -> Result<Self, Error> {
         let mut next = self.clone();
         next.revision = self.revision.next();
         for command in commands {
@@ -295,7 +295,7 @@
             identity: entry.identity,
             revision: self.revision,
         });
-        if self.recent_acceptances.len() > REMEMBERED {
+        if self.recent_acceptances.len() > MAX_RECENT_ACCEPTANCES {
             self.recent_acceptances.pop_front();
         }
         Ok(())
@@ -392,7 +392,7 @@
         kind: Name,
         base: Option<ModelKey>,
     ) -> Result<(), Error> {
-        if self.model_named(name).is_ok() {
+        if self.model_key_by_name(name).is_ok() {
             return Err(Error::Exists(name.clone()));
         }
         self.models.push(Model {
@@ -408,7 +408,7 @@
     }
 
     fn create_adapter(&mut self, name: &Name, base: &Name) -> Result<(), Error> {
-        let base_key = self.model_named(base)?;
+        let base_key = self.model_key_by_name(base)?;
         let base_model = self.model(base_key);
         if base_model.base.is_some() {
             return Err(Error::BaseIsAdapter(base.clone()));
@@ -423,15 +423,15 @@
         new_version: NewVersion<'_>,
         base: &Option<Name>,
     ) -> Result<(), Error> {
-        let key = self.model_named(model)?;
-        if self.version_named(key, new_version.name).is_ok() {
+        let key = self.model_key_by_name(model)?;
+        if self.version_key_by_name(key, new_version.name).is_ok() {
             return Err(Error::Exists(new_version.name.clone()));
         }
         let base = match (self.model(key).base, base) {
             (None, None) => None,
             (None, Some(_)) => return Err(Error::BaseUnwanted(model.clone())),
             (Some(_), None) => return Err(Error::BaseMissing(model.clone())),
-            (Some(base_model), Some(base)) => Some(self.version_named(base_model, base)?),
+            (Some(base_model), Some(base)) => Some(self.version_key_by_name(base_model, base)?),
         };
         self.versions.push(Version {
             model: key,
@@ -463,7 +463,7 @@
         replicas: u32,
         accounts: &[Name],
     ) -> Result<(), Error> {
-        let key = self.model_named(model)?;
+        let key = self.model_key_by_name(model)?;
         for account in accounts {
             if !self
                 .accounts
@@ -492,8 +492,8 @@
         steps: &[u8],
         replacing: bool,
     ) -> Result<(), Error> {
-        let key = self.model_named(model)?;
-        let to = self.version_named(key, version)?;
+        let key = self.model_key_by_name(model)?;
+        let to = self.version_key_by_name(key, version)?;
         let steps = if steps.is_empty() {
             &DEFAULT_STEPS
         } else {
@@ -529,7 +529,7 @@
     }
 
     fn set_paused(&mut self, model: &Name, paused: bool) -> Result<(), Error> {
-        let key = self.model_named(model)?;
+        let key = self.model_key_by_name(model)?;
         let rollout = self.model_mut(key).rollout.as_mut();
         let rollout = rollout.ok_or_else(|| Error::NoRollout(model.clone()))?;
         match (rollout.paused, paused) {
@@ -542,7 +542,7 @@
 
     /// Rolls out the live version if a rollout is in progress, otherwise the previous version.
     fn go_back(&mut self, model: &Name) -> Result<(), Error> {
-        let key = self.model_named(model)?;
+        let key = self.model_key_by_name(model)?;
         let current = self.model(key);
         let target = match &current.rollout {
             Some(rollout) => self.live_with_same_base(current, rollout.to),
@@ -594,11 +594,11 @@
     }
 
     fn base_version(&self, model: &Name, version: &Name) -> Result<VersionKey, Error> {
-        let key = self.model_named(model)?;
+        let key = self.model_key_by_name(model)?;
         if self.model(key).base.is_some() {
             return Err(Error::AdapterAssigned(model.clone()));
         }
-        self.version_named(key, version)
+        self.version_key_by_name(key, version)
     }
 
     fn unassign(&mut self, engine: &Name) -> Result<(), Error> {
@@ -609,8 +609,8 @@
     }
 
     fn advance(&mut self, model: &Name, version: &Name, reached: u32) -> Result<(), Error> {
-        let key = self.model_named(model)?;
-        let to = self.version_named(key, version)?;
+        let key = self.model_key_by_name(model)?;
+        let to = self.version_key_by_name(key, version)?;
         let rollout = self.model_mut(key).rollout.as_mut();
         let rollout = rollout.ok_or_else(|| Error::NoRollout(model.clone()))?;
         if rollout.to != to || rollout.reached != reached {
@@ -636,8 +636,8 @@
     }
 
     fn delete_version(&mut self, model: &Name, version: &Name) -> Result<(), Error> {
-        let key = self.model_named(model)?;
-        let version_key = self.version_named(key, version)?;
+        let key = self.model_key_by_name(model)?;
+        let version_key = self.version_key_by_name(key, version)?;
         let current = self.model(key);
         let is_rolling_out = current
             .rollout
--- a/crates/gingerpier_catalogue/tests/rules.rs
+++ b/crates/gingerpier_catalogue/tests/rules.rs
@@ -122,9 +122,11 @@
 #[test]
 fn version_receives_traffic_only_after_its_first_step() {
     let mut catalogue = catalogue();
-    let model = catalogue.model_named(&name("m")).expect("name exists");
+    let model = catalogue
+        .model_key_by_name(&name("m"))
+        .expect("name exists");
     let v1 = catalogue
-        .version_named(model, &name("v1"))
+        .version_key_by_name(model, &name("v1"))
         .expect("name exists");
     apply(&mut catalogue, vec![roll_out("m", "v1", false)]).expect("rollout starts");
     assert_eq!(catalogue.open_versions(model).count(), 0);
@@ -160,7 +162,9 @@
     }
     apply(&mut catalogue, vec![Command::GoBack { model: name("m") }]).expect("rollback starts");
     apply(&mut catalogue, vec![advance("m", "v1", 0)]).expect("rollback completes in one step");
-    let model = catalogue.model_named(&name("m")).expect("name exists");
+    let model = catalogue
+        .model_key_by_name(&name("m"))
+        .expect("name exists");
     let live: Vec<String> = catalogue
         .model(model)
         .live
@@ -179,9 +183,11 @@
         assign("e3", "z1", "v2"),
     ];
     apply(&mut catalogue, assigned).expect("engines are assigned");
-    let adapter = catalogue.model_named(&name("a")).expect("name exists");
+    let adapter = catalogue
+        .model_key_by_name(&name("a"))
+        .expect("name exists");
     let a1 = catalogue
-        .version_named(adapter, &name("a1"))
+        .version_key_by_name(adapter, &name("a1"))
         .expect("name exists");
     let servers: Vec<&str> = catalogue
         .holders(a1)
@@ -196,11 +202,11 @@
     let mut new = old.clone();
     apply(&mut new, vec![serve("m", "z3")]).expect("valid command");
     let mut catalogue = new.clone();
-    assert!(!catalogue.advance_to(old.clone()));
+    assert!(!catalogue.replace_if_newer(old.clone()));
     assert_eq!(catalogue, new);
     let decoded = Catalogue::from_snapshot(&new.to_snapshot()).expect("snapshot decodes");
     let mut stale = old;
-    assert!(stale.advance_to(decoded));
+    assert!(stale.replace_if_newer(decoded));
     assert_eq!(stale, new);
 }
 
@@ -222,7 +228,7 @@
         for (index, as_snapshot) in deliveries {
             let previous = catalogue.revision();
             if as_snapshot {
-                catalogue.advance_to(log[index + 1].clone());
+                catalogue.replace_if_newer(log[index + 1].clone());
             } else {
                 let _ = catalogue.apply(&records[index]);
             }
--- a/crates/gingerpier_daemon/src/backend/attempts.rs
+++ b/crates/gingerpier_daemon/src/backend/attempts.rs
@@ -146,7 +146,7 @@
             }
         }
         stream.finish();
-        stream.peer_stopped().await;
+        stream.wait_until_stopped().await;
     }
 
     async fn run_attempt(
@@ -331,7 +331,7 @@
         bytes += chunk.len() as u64;
         let length = chunk.len() as u32;
         let sent = match stream.send(&Reply::Body { length }).await {
-            Ok(()) => stream.send_held(chunk).await,
+            Ok(()) => stream.send_shared(chunk).await,
             Err(error) => Err(error),
         };
         if let Err(error) = sent {
--- a/crates/gingerpier_daemon/src/backend/engines.rs
+++ b/crates/gingerpier_daemon/src/backend/engines.rs
@@ -317,7 +317,7 @@
         let catalogue = self.process.catalogue_state.catalogue();
         let base = catalogue.assignments().get(&upstream.name)?.version;
         let zone = &self.process.hello.zone.name;
-        let adapters = catalogue.adapters_on(base, zone);
+        let adapters = catalogue.required_adapters(base, zone);
         let adapters = adapters
             .iter()
             .map(|key| catalogue.version(*key).manifest)
--- a/crates/gingerpier_daemon/src/backend/fetches.rs
+++ b/crates/gingerpier_daemon/src/backend/fetches.rs
@@ -135,7 +135,7 @@
     /// Fails if the version is unknown or doesn't fit into the cache.
     pub fn fetch(&self, version: Digest) -> Result<Rc<VersionFetch>, String> {
         let catalogue = self.process.catalogue_state.catalogue();
-        let key = catalogue.version_of_digest(version);
+        let key = catalogue.version_by_digest(version);
         let key =
             key.ok_or_else(|| format!("no version in the catalogue has the manifest {version}"))?;
         self.weights
@@ -312,7 +312,7 @@
     /// Returns the boxes that are assigned a version, including this one, sorted by name.
     fn replicas(&self, version: Digest) -> Vec<Peer> {
         let catalogue = self.process.catalogue_state.catalogue();
-        let Some(key) = catalogue.version_of_digest(version) else {
+        let Some(key) = catalogue.version_by_digest(version) else {
             return Vec::new();
         };
         let names: BTreeSet<&Name> = catalogue
--- a/crates/gingerpier_daemon/src/backend/peers.rs
+++ b/crates/gingerpier_daemon/src/backend/peers.rs
@@ -250,6 +250,6 @@
     if result.is_ok() {
         stream.finish();
         // A peer that doesn't read the end loses nothing.
-        let _ = actix_rt::time::timeout(TIMEOUT, stream.peer_stopped()).await;
+        let _ = actix_rt::time::timeout(TIMEOUT, stream.wait_until_stopped()).await;
     }
 }
--- a/crates/gingerpier_daemon/src/backend/serving.rs
+++ b/crates/gingerpier_daemon/src/backend/serving.rs
@@ -137,7 +137,7 @@
                     length: cached.bytes.len() as u32,
                 })
                 .await?;
-            stream.send_held(cached.bytes).await
+            stream.send_shared(cached.bytes).await
         };
         finish_response(result.await, stream).await;
     }
@@ -195,7 +195,7 @@
         request.stream.send(&Reply::Chunk { length }).await?;
         while !part.is_empty() {
             self.process.metrics.weights_sent.inc_by(part.len() as u64);
-            request.stream.send_held(part).await?;
+            request.stream.send_shared(part).await?;
             request.record_sent();
             part = remaining.split_to(remaining.len().min(PART_BYTES));
             self.send_pacer.acquire(part.len()).await;
@@ -206,7 +206,7 @@
     /// Returns true if the version is assigned to this box, or not known here yet.
     fn is_expected(&self, version: Digest) -> bool {
         let catalogue = self.process.catalogue_state.catalogue();
-        let Some(key) = catalogue.version_of_digest(version) else {
+        let Some(key) = catalogue.version_by_digest(version) else {
             return true;
         };
         let mut holders = catalogue.holders(key);
@@ -249,7 +249,7 @@
     match result {
         Ok(()) => {
             stream.finish();
-            stream.peer_stopped().await;
+            stream.wait_until_stopped().await;
         }
         Err(error) => tracing::debug!(event = "peer_left", %error),
     }
--- a/crates/gingerpier_daemon/src/entry/callers.rs
+++ b/crates/gingerpier_daemon/src/entry/callers.rs
@@ -167,7 +167,7 @@
             "the request needs a client account's token, as in `Authorization: Bearer TOKEN`";
         let token = token.ok_or_else(|| ErrorResponse::not_run(401, message))?;
         let catalogue = self.process.catalogue_state.catalogue();
-        let account = catalogue.account_of_key(Digest::of(token.as_bytes()));
+        let account = catalogue.account_by_key(Digest::of(token.as_bytes()));
         account
             .cloned()
             .ok_or_else(|| ErrorResponse::not_run(401, "no client account has this token"))
@@ -221,7 +221,7 @@
         let parsed: ModelRequest = serde_json::from_slice(&body_bytes)
             .map_err(|error| ErrorResponse::not_run(400, format!("the body: {error}")))?;
         let catalogue = self.process.catalogue_state.catalogue();
-        let model = catalogue.model_named(&parsed.model);
+        let model = catalogue.model_key_by_name(&parsed.model);
         let model = model.map_err(|error| ErrorResponse::not_run(404, error))?;
         if self
             .allowed_zones(&catalogue.model(model).contracts, &account.name)
--- a/crates/gingerpier_daemon/src/entry/operators.rs
+++ b/crates/gingerpier_daemon/src/entry/operators.rs
@@ -105,7 +105,7 @@
             .process
             .catalogue_state
             .catalogue()
-            .try_commands(commands)
+            .preview_commands(commands)
         {
             Ok(next) => Answered::WouldAccept {
                 revision: next.revision().0,
--- a/crates/gingerpier_daemon/src/entry/planning.rs
+++ b/crates/gingerpier_daemon/src/entry/planning.rs
@@ -105,7 +105,7 @@
                 let renewed = self
                     .store
                     .client()
-                    .keep_lease(planner_lease.lease, clock::now())
+                    .renew_lease(planner_lease.lease, clock::now())
                     .await;
                 // Planning continues if the service is unreachable; the fence of the next write
                 // decides.
--- a/crates/gingerpier_daemon/src/entry/queries.rs
+++ b/crates/gingerpier_daemon/src/entry/queries.rs
@@ -350,7 +350,7 @@
     fn of(catalogue: &Catalogue, engine: &'a Engine) -> Self {
         let status = &engine.status;
         let manifests = status.weights.iter().chain(&status.adapters);
-        let version_of = |digest: &Digest| catalogue.version_of_digest(*digest);
+        let version_of = |digest: &Digest| catalogue.version_by_digest(*digest);
         let assigned = catalogue.assignments().get(&status.name);
         Self {
             engine,
--- a/crates/gingerpier_daemon/src/entry/requests.rs
+++ b/crates/gingerpier_daemon/src/entry/requests.rs
@@ -549,7 +549,7 @@
 ) -> Result<Message, gingerpier_link::Error> {
     let mut stream = link.open().await?;
     stream.send(&Request::Attempt(attempt)).await?;
-    stream.send_held(body).await?;
+    stream.send_shared(body).await?;
     stream.finish();
     let mut bytes = 0;
     loop {
--- a/crates/gingerpier_daemon/src/process.rs
+++ b/crates/gingerpier_daemon/src/process.rs
@@ -246,7 +246,7 @@
     }
 
     fn reload_keys(&self) -> Option<Rc<Credentials>> {
-        let changed = match self.credentials().read_if_changed() {
+        let changed = match self.credentials().reload_if_changed() {
             Ok(changed) => changed?,
             Err(error) => {
                 tracing::error!(event = "keys_refused", %error);
--- a/crates/gingerpier_fleet/src/fleet.rs
+++ b/crates/gingerpier_fleet/src/fleet.rs
@@ -242,7 +242,7 @@
         let mut engine_lines = String::new();
         for engine in 0..self.spec.engines {
             let engine = format!("{name}-e{engine}");
-            let address = if self.spec.engines_here {
+            let address = if self.spec.engines_in_process {
                 self.start_engine_in_process()?
             } else {
                 let child = self.start_engine(&engine)?;
--- a/crates/gingerpier_fleet/src/spec.rs
+++ b/crates/gingerpier_fleet/src/spec.rs
@@ -39,7 +39,7 @@
     /// Size of a chunk, in bytes.
     pub chunk_bytes: u32,
     /// True to run engines in the harness process, to save processes in large fleets.
-    pub engines_here: bool,
+    pub engines_in_process: bool,
     /// True to reach each backend server through a link that can be interrupted or delayed.
     pub links: bool,
 }
@@ -68,7 +68,7 @@
             weights: String::new(),
             entry: String::new(),
             chunk_bytes: 262_144,
-            engines_here: false,
+            engines_in_process: false,
             links: false,
         }
     }
--- a/crates/gingerpier_link/src/credentials.rs
+++ b/crates/gingerpier_link/src/credentials.rs
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Returns an error if a new file is missing or invalid; the old keys remain usable.
-    pub fn read_if_changed(&self) -> Result<Option<Self>, Error> {
+    pub fn reload_if_changed(&self) -> Result<Option<Self>, Error> {
         if last_modified(&self.folder) == self.modified_at {
             return Ok(None);
         }
--- a/crates/gingerpier_link/src/stream.rs
+++ b/crates/gingerpier_link/src/stream.rs
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// Returns an error if the stream is closed.
-    pub async fn send_held(&mut self, bytes: Bytes) -> Result<(), Error> {
+    pub async fn send_shared(&mut self, bytes: Bytes) -> Result<(), Error> {
         let result = self.send.write_chunk(bytes).await;
         result.map_err(|cause| self.error(Step::Send, cause))
     }
@@ -80,7 +80,7 @@
     }
 
     /// Waits until the peer stops reading or has received a finished stream.
-    pub async fn peer_stopped(&mut self) {
+    pub async fn wait_until_stopped(&mut self) {
         let _ = self.send.stopped().await;
     }
 
--- a/crates/gingerpier_rollout/src/planner.rs
+++ b/crates/gingerpier_rollout/src/planner.rs
@@ -191,7 +191,7 @@
         let percent = if live.is_none() && !rollout.paused {
             100
         } else {
-            rollout.wanted_percent()
+            rollout.required_percent()
         };
         let wanted = (contract.replicas as usize * percent as usize).div_ceil(100);
         self.assign_version(&replicas, rollout.to, wanted);
--- a/crates/gingerpier_services/src/http.rs
+++ b/crates/gingerpier_services/src/http.rs
@@ -67,7 +67,7 @@
     where
         F: Future<Output = Result<ClientResponse, SendRequestError>>,
     {
-        let mut response = self.any_answer(sending).await?;
+        let mut response = self.any_response(sending).await?;
         let status = response.status();
         if status.is_success() {
             return Ok(response);
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// Returns an error if no response arrives.
-    pub async fn any_answer<F>(&self, sending: F) -> Result<ClientResponse, Error>
+    pub async fn any_response<F>(&self, sending: F) -> Result<ClientResponse, Error>
     where
         F: Future<Output = Result<ClientResponse, SendRequestError>>,
     {
--- a/crates/gingerpier_services/src/key_value.rs
+++ b/crates/gingerpier_services/src/key_value.rs
@@ -275,7 +275,7 @@
     /// # Errors
     ///
     /// Returns an error if the service does not respond or refuses the call.
-    pub async fn keep_lease(&self, lease: u64, now: Instant) -> Result<bool, Error> {
+    pub async fn renew_lease(&self, lease: u64, now: Instant) -> Result<bool, Error> {
         let url = format!("{}/v3/lease/keepalive", self.url);
         let call = self.call(Step::Lease, &url, now);
         let mut response = self.post(call, &json!({ "ID": lease.to_string() })).await?;
