--- a/crates/gingerpier_daemon/src/backend/chunk_requests.rs
+++ b/crates/gingerpier_daemon/src/backend/chunk_requests.rs
@@ -81,6 +81,7 @@
 
 /// Error of a request to a source.
 pub(super) enum Failure {
+    /// The source is overloaded; holds the earliest time of a retry.
     Busy(Instant),
     Failed(String),
 }
--- a/crates/gingerpier_daemon/src/backend/engines.rs
+++ b/crates/gingerpier_daemon/src/backend/engines.rs
@@ -57,8 +57,8 @@
     /// Name, unique in the deployment.
     pub name: Name,
     /// Kind of engine as in the settings, or name of the service.
-    pub engine_class: Name,
-    /// Whether weights are managed.
+    pub kind_name: Name,
+    /// Whether this server manages its weights.
     pub kind: Kind,
     /// HTTP client of the engine or service.
     pub client: Client,
@@ -69,14 +69,18 @@
     is_draining: Cell<bool>,
 }
 
+/// Last known state of an upstream and of its supervisor.
 #[derive(Default)]
 struct State {
     is_reachable: bool,
     last_status: ReportedStatus,
+    /// Loaded base weights.
     weights: Option<Digest>,
+    /// Loaded adapters.
     adapters: Vec<Digest>,
     assigned: Option<Digest>,
     progress: Progress,
+    /// Error that keeps the assigned versions from being loaded.
     error: Option<String>,
 }
 
@@ -158,10 +162,10 @@
         Self::new(&service.name, &service.service, Kind::Plain, client, state)
     }
 
-    fn new(name: &Name, engine_class: &Name, kind: Kind, client: Client, state: State) -> Self {
+    fn new(name: &Name, kind_name: &Name, kind: Kind, client: Client, state: State) -> Self {
         Self {
             name: name.clone(),
-            engine_class: engine_class.clone(),
+            kind_name: kind_name.clone(),
             kind,
             client,
             state: RefCell::new(state),
@@ -235,7 +239,7 @@
         let state = self.state.borrow();
         EngineStatus {
             name: self.name.clone(),
-            kind: self.engine_class.clone(),
+            kind: self.kind_name.clone(),
             plain: self.kind == Kind::Plain,
             phase: self.phase(&state),
             weights: state.weights,
--- a/crates/gingerpier_daemon/src/catalogue_state.rs
+++ b/crates/gingerpier_daemon/src/catalogue_state.rs
@@ -31,6 +31,7 @@
 pub struct CatalogueState {
     catalogue: RefCell<Rc<Catalogue>>,
     recent_records: RefCell<VecDeque<Rc<Record>>>,
+    /// Source of the current revision.
     update_source: Cell<UpdateSource>,
     revision: watch::Sender<Revision>,
 }
@@ -40,6 +41,7 @@
         Self {
             catalogue: RefCell::default(),
             recent_records: RefCell::default(),
+            /// Source of the current revision.
             update_source: Cell::new(UpdateSource::KeyValue),
             revision: watch::Sender::new(Revision::default()),
         }
--- a/crates/gingerpier_daemon/src/entry/links.rs
+++ b/crates/gingerpier_daemon/src/entry/links.rs
@@ -27,6 +27,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Initial delay of reconnects, doubled up to [`MAX_RECONNECT_MILLIS`].
 const MIN_RECONNECT_MILLIS: u64 = 100;
+/// Maximum delay of reconnects.
 const MAX_RECONNECT_MILLIS: u64 = 2_000;
 
 /// Open links of an entry box, with the last revision and status that each box reported.
--- a/crates/gingerpier_daemon/src/entry/requests.rs
+++ b/crates/gingerpier_daemon/src/entry/requests.rs
@@ -494,11 +494,13 @@
 
 /// Message of a backend server about an attempt.
 enum Message {
-    /// Requests of other entry boxes at the engine.
+    /// Number of requests of other entry boxes at the engine.
     Load(u32),
     Head(Head),
     Bytes(Bytes),
+    /// The response is complete.
     End,
+    /// The attempt ended otherwise.
     Event(Event),
 }
 
--- a/crates/gingerpier_daemon/src/process.rs
+++ b/crates/gingerpier_daemon/src/process.rs
@@ -38,11 +38,13 @@
     pub http: awc::Client,
     endpoint: RefCell<Endpoint>,
     credentials: RefCell<Rc<Credentials>>,
+    /// Directory of keys and certificates.
     keys: PathBuf,
     leaving: watch::Sender<bool>,
     last_attempt: Cell<u64>,
     /// Open links, whose traffic is part of the metrics.
     links: RefCell<Vec<Link>>,
+    /// Bytes of closed links.
     closed_traffic: Cell<Traffic>,
 }
 
@@ -75,6 +77,7 @@
             leaving: watch::Sender::new(false),
             last_attempt: Cell::new(0),
             links: RefCell::default(),
+            /// Bytes of closed links.
             closed_traffic: Cell::default(),
         })
     }
