--- a/crates/gingerpier_daemon/src/catalogue_state.rs
+++ b/crates/gingerpier_daemon/src/catalogue_state.rs
@@ -41,7 +41,6 @@
         Self {
             catalogue: RefCell::default(),
             recent_records: RefCell::default(),
-            /// Source of the current revision.
             update_source: Cell::new(UpdateSource::KeyValue),
             revision: watch::Sender::new(Revision::default()),
         }
