--- a/crates/gingerpier_gateway/src/loader/versions.rs
+++ b/crates/gingerpier_gateway/src/loader/versions.rs
@@ -16,14 +16,13 @@
 };
 
 impl Loader {
-    /// Records a release made at most `age` milliseconds ago, as reported by
-    /// `source`.
-    pub fn record_release(&self, model_version: &ModelVersion, source: Reporter, age: u64) {
+    /// Records a release made at most `age` milliseconds ago, as reported by `reporter`.
+    pub fn record_release(&self, model_version: &ModelVersion, reporter: Reporter, age: u64) {
         let now = clock::now();
         let earliest = Instant::from_millis(now.as_millis().saturating_sub(age));
         let mut releases = self.releases.borrow_mut();
         let known = releases.entry(model_version.model.clone()).or_default();
-        if known.record(model_version.version, source, earliest, now) {
+        if known.record(model_version.version, reporter, earliest, now) {
             tracing::info!(
                 model = model_version.model,
                 version = model_version.version.0,
@@ -33,13 +32,13 @@
         }
     }
 
-    /// Records a release that the gateway `source` reported.
-    pub fn record_peer_release(&self, release: message::ReportedRelease, source: Reporter) {
+    /// Records a release that the gateway `reporter` reported.
+    pub fn record_peer_release(&self, release: message::ReportedRelease, reporter: Reporter) {
         let model_version = ModelVersion {
             model: release.model,
             version: Version(release.version),
         };
-        self.record_release(&model_version, source, release.age_millis);
+        self.record_release(&model_version, reporter, release.age_millis);
     }
 
     /// Known releases of `model`.
@@ -123,7 +122,7 @@
         let fleet = self.fleet.borrow();
         let now = clock::now();
         let serves = |engine: &Engine| {
-            engine.version_of(&model_version.model, now) == Some(model_version.version)
+            engine.loaded_version(&model_version.model, now) == Some(model_version.version)
         };
         let engines = fleet.listed().filter(|(_, engine)| serves(engine));
         engines
@@ -136,7 +135,7 @@
         let now = clock::now();
         let versions = fleet
             .listed()
-            .filter_map(|(_, engine)| engine.version_of(model, now));
+            .filter_map(|(_, engine)| engine.loaded_version(model, now));
         versions.max()
     }
 
@@ -175,7 +174,7 @@
     /// Version of `model` that the engine has loaded.
     pub fn loaded_version(&self, model: &str) -> Option<Version> {
         let report = self.report.borrow();
-        let loaded = report.as_ref()?.held.iter();
+        let loaded = report.as_ref()?.loaded.iter();
         loaded
             .filter(|held| held.model == model)
             .map(|held| held.version)
--- a/crates/gingerpier_gateway/src/proxy/attempt.rs
+++ b/crates/gingerpier_gateway/src/proxy/attempt.rs
@@ -5,7 +5,7 @@
     crate::{clock, state::State},
     gingerpier_base::Instant,
     gingerpier_http1::{body::Decoder, connection::Connection, error::Error, head::Response},
-    gingerpier_serving::{configuration::Repeat, course::Failure, fleet::EngineKey},
+    gingerpier_serving::{configuration::Repeat, fleet::EngineKey, retry::Failure},
     std::rc::Rc,
 };
 
@@ -54,7 +54,7 @@
     prompt_tokens: u64,
     awaits_first_event: bool,
     sent_at: Instant,
-    crowding: f64,
+    slowdown: f64,
 }
 
 impl InFlight {
@@ -62,15 +62,15 @@
     pub fn new(state: &Rc<State>, engine: EngineKey, prompt_tokens: u64) -> Self {
         let sent_at = clock::now();
         let mut fleet = state.fleet.borrow_mut();
-        let crowding = fleet.engine(engine).crowding();
-        fleet.engine_mut(engine).note_sent(prompt_tokens, sent_at);
+        let slowdown = fleet.engine(engine).sharing_slowdown();
+        fleet.engine_mut(engine).record_sent(prompt_tokens, sent_at);
         Self {
             state: state.clone(),
             engine,
             prompt_tokens,
             awaits_first_event: true,
             sent_at,
-            crowding,
+            slowdown,
         }
     }
 
@@ -80,14 +80,16 @@
         let mut fleet = self.state.fleet.borrow_mut();
         fleet
             .engine_mut(self.engine)
-            .note_work(elapsed_millis, self.crowding);
+            .record_work(elapsed_millis, self.slowdown);
     }
 
     /// Removes the prompt from the engine's unread tokens at the first event of the stream.
     pub fn record_first_event(&mut self) {
         if std::mem::replace(&mut self.awaits_first_event, false) {
             let mut fleet = self.state.fleet.borrow_mut();
-            fleet.engine_mut(self.engine).note_first(self.prompt_tokens);
+            fleet
+                .engine_mut(self.engine)
+                .record_first_event(self.prompt_tokens);
         }
     }
 }
@@ -97,7 +99,7 @@
         let mut fleet = self.state.fleet.borrow_mut();
         fleet
             .engine_mut(self.engine)
-            .note_end(self.prompt_tokens, self.awaits_first_event);
+            .record_end(self.prompt_tokens, self.awaits_first_event);
     }
 }
 
@@ -124,7 +126,7 @@
     engine: EngineKey,
     options: &AttemptOptions<'_>,
 ) -> Result<PendingResponse, AttemptError> {
-    let header_names = state.protocol.header_names();
+    let header_names = state.platform_api.header_names();
     let (address, bytes) = {
         let fleet = state.fleet.borrow();
         let engine = fleet.engine(engine);
@@ -187,8 +189,8 @@
 /// Timeout of a connection probe, which covers several round trips between regions.
 const PROBE_TIMEOUT_MILLIS: u64 = 100;
 
-/// Milliseconds for which a probe connection must stay open: a crashing engine resets its
-/// connections before its port closes.
+/// Time for which a probe connection must stay open: a crashing engine resets its connections
+/// before its port closes.
 const PROBE_OPEN_MILLIS: u64 = 30;
 
 /// Probes with a new connection whether an engine still listens at `address`.
--- a/crates/gingerpier_gateway/src/proxy/completion.rs
+++ b/crates/gingerpier_gateway/src/proxy/completion.rs
@@ -14,7 +14,7 @@
         state::State,
     },
     gingerpier_http1::{connection::Connection, head::Request},
-    gingerpier_serving::{course::Next, fleet::EngineKey},
+    gingerpier_serving::{fleet::EngineKey, retry::Action},
     std::ops::Range,
 };
 
@@ -28,7 +28,7 @@
 /// Retry delay for a request that is held until an operator dismisses its crashes.
 const RETRY_AFTER_HELD_SECONDS: f64 = 3_600.0;
 
-/// Milliseconds without requests for an engine that refused one.
+/// Backoff for an engine that refused a request.
 const FULL_BACKOFF_MILLIS: u64 = 60;
 
 impl Forwarder<'_, '_> {
@@ -40,14 +40,16 @@
         let engine = fleet.engine_mut(engine);
         match error.cause {
             Cause::Unreachable => {
-                engine.note_failure(now);
+                engine.record_failure(now);
                 // The engine may restart cold before its store entry says so.
-                engine.warmth.note_doubt(now);
+                engine.warmup.record_possible_cooling(now);
+            }
+            Cause::Broken => engine.record_failure(now),
+            Cause::Silent => engine.record_timeout(now),
+            Cause::Garbled | Cause::EngineFailed => engine.record_error_response(),
+            Cause::Full | Cause::Elsewhere => {
+                engine.back_off_until(now.after_millis(FULL_BACKOFF_MILLIS))
             }
-            Cause::Broken => engine.note_failure(now),
-            Cause::Silent => engine.note_silence(now),
-            Cause::Garbled | Cause::EngineFailed => engine.note_trouble(),
-            Cause::Full | Cause::Elsewhere => engine.rest(now.after_millis(FULL_BACKOFF_MILLIS)),
         }
     }
 
@@ -62,7 +64,7 @@
         let engine = fleet.engine(engine);
         if log::allows_request_line() {
             tracing::info!(
-                id = self.request.attempt_id(self.state.protocol.header_names()),
+                id = self.request.attempt_id(self.state.platform_api.header_names()),
                 engine = engine.record.id,
                 cause = ?error.cause,
                 failure = ?error.failure,
@@ -80,7 +82,7 @@
     pub(super) async fn finish(
         &mut self,
         caller: &mut Connection,
-        next: Next,
+        next: Action,
         progress: &Progress,
         fallback: Option<BufferedResponse>,
     ) -> Persistence {
@@ -98,9 +100,9 @@
             };
         }
         let (error, ending) = match next {
-            Next::Fail | Next::TryAnother => (ErrorResponse::Failed, Ending::Failed),
-            Next::TimeOut => (ErrorResponse::TimedOut, Ending::TimedOut),
-            Next::Refuse => (
+            Action::Fail | Action::Retry => (ErrorResponse::Failed, Ending::Failed),
+            Action::TimeOut => (ErrorResponse::TimedOut, Ending::TimedOut),
+            Action::Refuse => (
                 ErrorResponse::NotRun {
                     retry_after: self.retry_after_seconds(),
                 },
@@ -127,7 +129,7 @@
             refusals.get_or_create(&RefusalLabels { reason }).inc();
         }
         self.log_ending(ending, progress);
-        let header_names = self.state.protocol.header_names();
+        let header_names = self.state.platform_api.header_names();
         let bytes = error_response::encode(
             error,
             self.request.head,
@@ -202,7 +204,7 @@
         let fleet = self.state.fleet.borrow();
         let engine = self.tried.last().map(|key| fleet.engine(*key));
         tracing::info!(
-            id = self.request.attempt_id(self.state.protocol.header_names()),
+            id = self.request.attempt_id(self.state.platform_api.header_names()),
             outcome = ?ending,
             mark = %self.request.fingerprint,
             route = self.request.route_settings().name,
@@ -217,14 +219,14 @@
             events = progress.event_count(),
             pause = progress.longest_gap_millis(),
             beside = self.engine_load.map(|load| load.requests as u64),
-            unread = self.engine_load.map(|load| load.unread_tokens),
+            unread = self.engine_load.map(|load| load.pending_prompt_tokens),
             prompt = self.request.prompt_tokens,
             size = self.request.band.map(tracing::field::display),
             bound = self.refusal.map(|refusal| refusal.bound_millis as u64),
-            queue = self.refusal.map(|refusal| refusal.components.queue as u64),
-            passes = self.refusal.map(|refusal| refusal.components.passes as u64),
-            others = self.refusal.map(|refusal| refusal.components.others as u64),
-            own = self.refusal.map(|refusal| refusal.components.own as u64),
+            queue = self.refusal.map(|refusal| refusal.components.queue_millis as u64),
+            passes = self.refusal.map(|refusal| refusal.components.pass_millis as u64),
+            others = self.refusal.map(|refusal| refusal.components.other_prompts_millis as u64),
+            own = self.refusal.map(|refusal| refusal.components.own_prompt_millis as u64),
             error = self.refusal.map(|refusal| refusal.error_millis as u64),
             visit = ?self.request.visit,
             took = now.millis_since(self.request.received),
@@ -247,7 +249,7 @@
     head: &Request,
     error: ErrorResponse,
 ) -> Persistence {
-    let header_names = state.protocol.header_names();
+    let header_names = state.platform_api.header_names();
     let ending = match error {
         ErrorResponse::NoConfiguration | ErrorResponse::ShuttingDown => Ending::Refused,
         _ => Ending::Denied,
--- a/crates/gingerpier_gateway/src/proxy/engine_choice.rs
+++ b/crates/gingerpier_gateway/src/proxy/engine_choice.rs
@@ -7,18 +7,18 @@
     gingerpier_serving::{
         admission::{self, AvailabilityCounts, Choice, Criteria, Cutover},
         fleet::EngineKey,
-        precedence,
         report::Version,
-        returns::Visit,
+        return_detection::Visit,
+        shedding,
     },
 };
 
-/// Milliseconds for which streams stay on an engine that stopped accepting requests, so that short
-/// ones end there.
+/// Milliseconds for which streams stay on an engine that stopped accepting requests; short ones end
+/// by then.
 const MIGRATE_AFTER_MILLIS: u64 = 450;
 
-/// Milliseconds before a newer version becomes mandatory at which migration of streams of an older
-/// one stops, so that no migrated stream starts too late.
+/// Time before the cutover to a newer version from which streams no longer migrate, as one that is
+/// delayed would start after it.
 const MIGRATION_LEAD_MILLIS: u64 = 2_000;
 
 impl Forwarder<'_, '_> {
@@ -36,7 +36,7 @@
     /// than processing one prompt again on another engine.
     pub fn should_migrate(&mut self, engine: EngineKey, progress: &Progress) -> bool {
         let now = clock::now();
-        let closed_millis = self.state.fleet.borrow().engine(engine).closed_millis(now);
+        let closed_millis = self.state.fleet.borrow().engine(engine).blocked_millis(now);
         // Keeps the check cheap, as it runs for each event of each stream.
         if closed_millis.is_none_or(|closed_millis| closed_millis < MIGRATE_AFTER_MILLIS) {
             return false;
@@ -59,7 +59,7 @@
     /// Latency target for the next event.
     fn target_millis(&self, progress: &Progress) -> u64 {
         match progress.has_begun() {
-            true => self.request.route_settings().pause_millis,
+            true => self.request.route_settings().max_pause_millis,
             false => self.request.route_settings().target_millis,
         }
     }
@@ -70,7 +70,7 @@
     /// that waited for startup get the lowest share, as many of them resume at once.
     fn target_share(&self, now: Instant) -> f64 {
         if self.has_waited {
-            return precedence::LEFT_SHARE;
+            return shedding::MIN_TARGET_SHARE;
         }
         let visit = match self.retry_state.attempts {
             0 => self.request.visit,
@@ -143,12 +143,12 @@
             } => {
                 self.predicted_millis = predicted_millis;
                 self.own_millis = Some(own_millis);
-                self.engine_load = Some(fleet.engine(engine).seen(now));
+                self.engine_load = Some(fleet.engine(engine).estimated_load(now));
                 Some(engine)
             }
             Choice::Full(refusal) => {
                 self.predicted_millis = refusal.predicted_millis();
-                self.own_millis = Some(refusal.components.own);
+                self.own_millis = Some(refusal.components.own_prompt_millis);
                 self.refusal = Some(refusal);
                 None
             }
@@ -166,7 +166,7 @@
         let min_version = admission::min_version(&self.cutovers(), now);
         let fleet = self.state.fleet.borrow();
         let model = self.request.model.as_deref();
-        let loaded = model.and_then(|model| fleet.engine(engine).version_of(model, now));
+        let loaded = model.and_then(|model| fleet.engine(engine).loaded_version(model, now));
         loaded
             .filter(|loaded| min_version > Version::default() && *loaded >= min_version)
             .unwrap_or_default()
@@ -176,7 +176,8 @@
     pub(super) fn is_outdated(&self, engine: EngineKey) -> bool {
         let fleet = self.state.fleet.borrow();
         let model = self.request.model.as_deref();
-        let loaded = model.and_then(|model| fleet.engine(engine).version_of(model, clock::now()));
+        let loaded =
+            model.and_then(|model| fleet.engine(engine).loaded_version(model, clock::now()));
         loaded.is_some_and(|loaded| {
             self.cutovers()
                 .iter()
--- a/crates/gingerpier_gateway/src/proxy/forward.rs
+++ b/crates/gingerpier_gateway/src/proxy/forward.rs
@@ -19,10 +19,10 @@
     },
     gingerpier_serving::{
         admission::Refusal,
-        course::{Failure, Next, Standing},
-        engine::Seen,
+        engine::EstimatedLoad,
         fleet::EngineKey,
         report::Version,
+        retry::{Action, Failure, RetryState},
     },
     std::rc::Rc,
 };
@@ -75,7 +75,7 @@
     pub state: &'a Rc<State>,
     /// The request.
     pub request: &'a RoutedRequest<'c>,
-    pub(super) retry_state: Standing,
+    pub(super) retry_state: RetryState,
     /// Engines that the request was sent to, in order.
     pub(super) tried: Vec<EngineKey>,
     /// Predicted time to the first event on the engine chosen last.
@@ -96,7 +96,7 @@
     /// Random number that spreads choices among engines that are equally good.
     pub(super) random: u64,
     /// Known load of the engine chosen last.
-    pub(super) engine_load: Option<Seen>,
+    pub(super) engine_load: Option<EstimatedLoad>,
     /// Why the last choice found all engines full.
     pub(super) refusal: Option<Refusal>,
 }
@@ -111,7 +111,7 @@
     let mut forwarder = Forwarder {
         state,
         request,
-        retry_state: Standing {
+        retry_state: RetryState {
             repeat: route_settings.repeat,
             attempts: 0,
             max_attempts: route_settings.max_attempts,
@@ -157,7 +157,7 @@
                     StartupWait::Expired => {}
                     StartupWait::Disconnected => return self.finish_disconnected(),
                 }
-                let next = self.retry_state.give_up();
+                let next = self.retry_state.final_action();
                 return self.finish(caller, next, &progress, fallback).await;
             };
             self.record_attempt(engine);
@@ -167,7 +167,7 @@
                 AttemptOutcome::Disconnected => return self.finish_disconnected(),
                 AttemptOutcome::TimedOut => {
                     self.retry_state.may_have_run = true;
-                    let next = Next::TimeOut;
+                    let next = Action::TimeOut;
                     return self.finish(caller, next, &progress, fallback).await;
                 }
                 AttemptOutcome::Held => {
@@ -196,9 +196,9 @@
                         .spend_retry(&self.request.service_settings().name, now)
             };
             let mut retry_state = self.retry_state;
-            let next = retry_state.after(error.failure, now, spend_retry);
+            let next = retry_state.record_failure(error.failure, now, spend_retry);
             self.retry_state = retry_state;
-            if next != Next::TryAnother {
+            if next != Action::Retry {
                 return self.finish(caller, next, &progress, fallback).await;
             }
         }
@@ -213,7 +213,7 @@
         fallback: Option<BufferedResponse>,
     ) -> Persistence {
         self.refusal_reason = Some(reason);
-        let next = self.retry_state.give_up();
+        let next = self.retry_state.final_action();
         self.finish(caller, next, progress, fallback).await
     }
 
@@ -296,7 +296,7 @@
         progress: &mut Progress,
         in_flight: &mut InFlight,
     ) -> AttemptOutcome {
-        let header_names = self.state.protocol.header_names();
+        let header_names = self.state.platform_api.header_names();
         let head = &response.head;
         let is_refused = head.status == 421 || head.fields.get(header_names.not_run).is_some();
         let is_success = (200..300).contains(&head.status);
@@ -375,7 +375,7 @@
     pub(super) fn record_completion(&self, head: &Response) {
         let version = head
             .fields
-            .number(self.state.protocol.header_names().version);
+            .number(self.state.platform_api.header_names().version);
         let version = Version(version.unwrap_or_default());
         self.state
             .record_completion(self.request.fingerprint, version);
@@ -383,7 +383,7 @@
 
     fn record_success(&self, engine: EngineKey) {
         let mut fleet = self.state.fleet.borrow_mut();
-        fleet.engine_mut(engine).note_success();
+        fleet.engine_mut(engine).record_success();
     }
 
     pub(super) async fn write_buffered(
@@ -425,7 +425,7 @@
         if let (Some(engine), Some(sent_at)) = (self.tried.last(), self.sent_at) {
             let lateness_millis = now.millis_since(sent_at) as f64 - self.predicted_millis;
             let mut fleet = self.state.fleet.borrow_mut();
-            fleet.engine_mut(*engine).note_lateness(lateness_millis);
+            fleet.engine_mut(*engine).record_lateness(lateness_millis);
         }
     }
 }
--- a/crates/gingerpier_gateway/src/proxy/trial.rs
+++ b/crates/gingerpier_gateway/src/proxy/trial.rs
@@ -1,7 +1,7 @@
 //! Isolation of requests that are suspected of crashing engines.
 //!
-//! A suspected request runs as a trial: at one engine of the deployment at a time, and alone among
-//! suspects on that engine, so that a further crash identifies it.
+//! A suspected request runs as a trial: on one engine at a time, without another suspected request
+//! beside it, so that a further crash identifies the request.
 
 use {
     super::{
@@ -19,10 +19,10 @@
     std::{collections::HashSet, rc::Rc},
 };
 
-/// A request waits for another trial of the same request for its latency target divided by this.
+/// Divisor of the latency target for the time that a request waits for another trial of it to end.
 const WAIT_DIVISOR: u64 = 8;
 
-/// Milliseconds between checks whether another trial is over.
+/// Interval between checks whether the other trial is over.
 const POLL_INTERVAL_MILLIS: u64 = 20;
 
 /// Delays of the further checks whether an engine crashed after it broke a connection: some engines
@@ -59,15 +59,15 @@
 impl Drop for TrialGuard {
     fn drop(&mut self) {
         let Trial {
-            fingerprint: mark,
-            gateway: by,
+            fingerprint,
+            gateway,
             ..
         } = self.trial;
         self.state
             .suspect_state
             .trials
             .borrow_mut()
-            .record_end(mark, by);
+            .record_end(fingerprint, gateway);
         self.state.announce_trial(&self.trial, true);
     }
 }
@@ -101,7 +101,7 @@
             match status {
                 Status::Clear => return Access::Unrestricted,
                 Status::Held => return Access::Held,
-                Status::ReportOutcome | Status::Suspect => {}
+                Status::SingleCrash | Status::Suspect => {}
             }
             let now = clock::now();
             let is_on_trial = state
@@ -149,7 +149,7 @@
         Trial {
             gateway: self.state.settings.peers,
             fingerprint: self.request.fingerprint,
-            engine: is_exclusive.then(|| Incarnation::of(&engine.record, engine.born())),
+            engine: is_exclusive.then(|| Incarnation::of(&engine.record, engine.start_time())),
         }
     }
 
@@ -163,9 +163,9 @@
         let mut excluded = self.tried.clone();
         {
             let fleet = self.state.fleet.borrow();
-            let engines = fleet.present(&self.request.service_settings().name);
+            let engines = fleet.current_of_service(&self.request.service_settings().name);
             let occupied = engines.filter(|(_, engine)| {
-                with_trial.contains(&Incarnation::of(&engine.record, engine.born()))
+                with_trial.contains(&Incarnation::of(&engine.record, engine.start_time()))
             });
             excluded.extend(occupied.map(|(key, _)| key));
         }
@@ -190,16 +190,16 @@
             let fleet = self.state.fleet.borrow();
             let engine = fleet.engine(key);
             // A draining engine exits on its own.
-            if engine.is_gone || engine.record.state == fleet::State::Draining {
+            if engine.is_removed || engine.record.state == fleet::State::Draining {
                 return None;
             }
             let now = clock::now();
             let model = self.request.model.as_deref();
-            let loaded = model.and_then(|model| engine.version_of(model, now));
+            let loaded = model.and_then(|model| engine.loaded_version(model, now));
             let crash = Crash {
                 fingerprint: self.request.fingerprint,
                 account: suspects::account_hash(self.request.account.as_deref()),
-                engine: Incarnation::of(&engine.record, engine.born()),
+                engine: Incarnation::of(&engine.record, engine.start_time()),
                 version: loaded.unwrap_or_default().max(progress.version()),
                 at: now,
             };
--- a/crates/gingerpier_gateway/src/state/mod.rs
+++ b/crates/gingerpier_gateway/src/state/mod.rs
@@ -22,7 +22,7 @@
     gingerpier_base::Instant,
     gingerpier_serving::{
         arrivals::Arrivals,
-        budget::{Budget, Terms},
+        budget::{Budget, Limits},
         configuration::Configuration,
         fleet::{EngineKey, Fleet},
         mirror::{Changes, Item, Mirror, Revision},
@@ -31,7 +31,7 @@
         region::Regions,
         release::{Freshness, Releases},
         report::Version,
-        returns::{Returns, Visit},
+        return_detection::{Detector, Visit},
         sizes::{Band, Sizes},
         zones::Exchange,
     },
@@ -49,8 +49,8 @@
 pub struct State {
     /// Settings from the settings file.
     pub settings: Settings,
-    /// Protocol of the deployment platform.
-    pub protocol: &'static dyn PlatformApi,
+    /// Adapter to the deployment platform.
+    pub platform_api: &'static dyn PlatformApi,
     /// Parser of the store's items.
     pub item_parser: Parser,
     /// Local copy of the store.
@@ -88,7 +88,7 @@
     pub active_requests: Cell<u32>,
     configuration: RefCell<Option<Rc<Configuration>>>,
     arrivals: RefCell<HashMap<String, Arrivals>>,
-    return_detector: RefCell<Returns>,
+    return_detector: RefCell<Detector>,
     prompt_sizes: RefCell<Sizes>,
     shedding: RefCell<shedding::SheddingTable>,
     regions: Regions,
@@ -108,7 +108,7 @@
 
 impl State {
     /// Creates the state of a process that starts now.
-    pub fn new(settings: Settings, protocol: &'static dyn PlatformApi) -> Self {
+    pub fn new(settings: Settings, platform_api: &'static dyn PlatformApi) -> Self {
         let started = clock::now();
         let regions = settings.regions.iter();
         let regions =
@@ -118,10 +118,10 @@
             .in_incarnation(clock::stamp().as_unix_millis());
         Self {
             settings,
-            protocol,
-            item_parser: Parser::new(protocol),
+            platform_api,
+            item_parser: Parser::new(platform_api),
             mirror: RefCell::default(),
-            fleet: RefCell::new(Fleet::of(regions.clone())),
+            fleet: RefCell::new(Fleet::with_regions(regions.clone())),
             retry_budgets: RefCell::default(),
             pool: RefCell::default(),
             metrics: Metrics::default(),
@@ -131,14 +131,14 @@
             bootstrap_loaders: RefCell::default(),
             snapshots: Snapshots::default(),
             suspect_state: SuspectState::default(),
-            distributor: Rc::new(Distributor::new(protocol)),
+            distributor: Rc::new(Distributor::new(platform_api)),
             is_stopping: Cell::new(false),
             is_closed: Cell::new(false),
             closing: Notify::new(),
             active_requests: Cell::new(0),
             configuration: RefCell::default(),
             arrivals: RefCell::default(),
-            return_detector: RefCell::new(Returns::new(started)),
+            return_detector: RefCell::new(Detector::new(started)),
             prompt_sizes: RefCell::default(),
             shedding: RefCell::default(),
             regions,
@@ -188,7 +188,7 @@
     fn slim(&self, items: Changes) -> Changes {
         let items = items.into_iter();
         items
-            .map(|item| strip_unused_value(self.protocol, item))
+            .map(|item| strip_unused_value(self.platform_api, item))
             .collect()
     }
 
@@ -230,7 +230,7 @@
             return;
         }
         tracing::info!(version = configuration.version, ?old, "configuration taken");
-        configuration.locate(&self.regions);
+        configuration.resolve_regions(&self.regions);
         self.log_unknown_regions(&configuration);
         self.metrics.configuration.set(configuration.version as i64);
         let services = configuration.services().iter();
@@ -254,10 +254,10 @@
         let service = traffic_class.service;
         let mut arrivals = self.arrivals.borrow_mut();
         match arrivals.get_mut(service) {
-            Some(service_arrivals) => service_arrivals.note(now),
-            None => arrivals.entry(service.to_owned()).or_default().note(now),
+            Some(service_arrivals) => service_arrivals.record(now),
+            None => arrivals.entry(service.to_owned()).or_default().record(now),
         }
-        self.with_budget(service, |budget| budget.note_request(now));
+        self.with_budget(service, |budget| budget.record_first_attempt(now));
     }
 
     /// Records a request of `route`, whose caller waits `timeout_millis`; returns whether the
@@ -265,7 +265,7 @@
     pub fn record_visit(&self, route: &str, timeout_millis: Option<u64>, now: Instant) -> Visit {
         self.return_detector
             .borrow_mut()
-            .take(route, timeout_millis, now)
+            .classify(route, timeout_millis, now)
     }
 
     /// Records the prompt length of a request of `route`; returns its size class among them.
@@ -276,13 +276,15 @@
             *sizes = Sizes::default();
             self.metrics.endings_by_route.clear();
         }
-        sizes.note(route, prompt_tokens)
+        sizes.record(route, prompt_tokens)
     }
 
-    /// Shortest retry delay after which returning callers of `route` can be told from new ones;
-    /// `None` while that is unknown.
+    /// Shortest retry delay after which returning callers of `route` can be distinguished from new
+    /// ones; `None` while that is unknown.
     pub fn recognizable_retry_millis(&self, route: &str) -> Option<u64> {
-        self.return_detector.borrow().told_apart_millis(route)
+        self.return_detector
+            .borrow()
+            .recognizable_after_millis(route)
     }
 
     /// Estimates the requests per millisecond that other gateways send to `service`, from this
@@ -297,7 +299,7 @@
 
     /// Spends one retry from the budget of `service`; returns false if none is left.
     pub fn spend_retry(&self, service: &str, now: Instant) -> bool {
-        let is_granted = self.with_budget(service, |budget| budget.take(now));
+        let is_granted = self.with_budget(service, |budget| budget.try_spend(now));
         if is_granted {
             self.metrics.retries.inc();
         }
@@ -307,14 +309,14 @@
     fn with_budget<T>(&self, service: &str, change: impl FnOnce(&mut Budget) -> T) -> T {
         let mut budgets = self.retry_budgets.borrow_mut();
         if let Some(budget) = budgets.get_mut(service) {
-            budget.note_members(self.gateway_count());
+            budget.record_gateway_count(self.gateway_count());
             return change(budget);
         }
-        let limits = Terms {
+        let limits = Limits {
             ratio: self.settings.retry_ratio,
             extra: self.settings.retry_extra,
             window_millis: self.settings.retry_window.0,
-            members: self.gateway_count(),
+            gateways: self.gateway_count(),
         };
         change(
             budgets
--- a/crates/gingerpier_gateway/src/weights/mod.rs
+++ b/crates/gingerpier_gateway/src/weights/mod.rs
@@ -21,7 +21,7 @@
     cache::{ChunkCache, ChunkSet},
     gingerpier_base::order,
     gingerpier_serving::{
-        pace::Pace,
+        pacing::Pacer,
         platform_api::{Manifest, ModelVersion, PlatformApi},
         report::Version,
         update_schedule::Bound,
@@ -44,8 +44,8 @@
 
 /// Chunk cache of a process and the state of its weights transfers.
 pub struct Distributor {
-    /// Platform protocol.
-    pub protocol: &'static dyn PlatformApi,
+    /// Adapter to the deployment platform.
+    pub platform_api: &'static dyn PlatformApi,
     /// Chunks in memory.
     pub chunk_cache: RefCell<ChunkCache>,
     /// Encoded engine and service configuration for loaders; set on gateways once known.
@@ -59,7 +59,7 @@
     /// Version that a peer last requested and that isn't cached here.
     pub requested_version: RefCell<Option<ModelVersion>>,
     /// Send rate limit for chunks; set where the link is narrow.
-    pub pacer: Option<RefCell<Pace>>,
+    pub pacer: Option<RefCell<Pacer>>,
     /// Notified when a chunk or a manifest is cached.
     pub arrived: Notify,
     /// Limits concurrent uploads.
@@ -71,23 +71,23 @@
 impl Distributor {
     /// Distribution state of a loader next to `engine`, behind a narrow link.
     pub fn for_engine(
-        protocol: &'static dyn PlatformApi,
+        platform_api: &'static dyn PlatformApi,
         engine: SocketAddr,
         link_bits_per_second: u64,
     ) -> Self {
-        let pacer = Pace::new(link_bits_per_second);
+        let pacer = Pacer::new(link_bits_per_second);
         Self {
             engine: Some(engine),
             pacer: Some(RefCell::new(pacer)),
             upload_permits: Semaphore::new(MAX_UPLOADS_NARROW),
-            ..Self::new(protocol)
+            ..Self::new(platform_api)
         }
     }
 
     /// Distribution state of a process behind a wide link.
-    pub fn new(protocol: &'static dyn PlatformApi) -> Self {
+    pub fn new(platform_api: &'static dyn PlatformApi) -> Self {
         Self {
-            protocol,
+            platform_api,
             chunk_cache: RefCell::default(),
             configuration: RefCell::default(),
             engine: None,
@@ -179,8 +179,8 @@
 /// Time reserved before the deadline of a weight update.
 const UPDATE_MARGIN_MILLIS: u64 = 1_400;
 
-/// Limits of a weight update that has to end `within_millis` after the release.
-pub const fn terms(within_millis: u64) -> Bound {
+/// Time bound of a weight update that has to end `within_millis` after the release.
+pub const fn update_bound(within_millis: u64) -> Bound {
     Bound {
         within_millis,
         margin_millis: UPDATE_MARGIN_MILLIS,
--- a/crates/gingerpier_overload/src/deployment.rs
+++ b/crates/gingerpier_overload/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::draw::Draw,
-    gingerpier_serving::{configuration::EngineModel, precedence::Way, prediction},
+    gingerpier_serving::{configuration::EngineModel, prediction, shedding::ReturnPolicy},
 };
 
 /// Most times that a prompt or an answer is larger than the mean one.
@@ -83,7 +83,7 @@
     /// Share of the callers that come back at once where they were refused.
     pub impatient_share: f64,
     /// How its gateways treat callers that come back.
-    pub way: Way,
+    pub way: ReturnPolicy,
     /// Milliseconds for which a gateway holds a caller whom all engines are too full for, before it refuses it; 0 for
     /// none.
     pub hold_millis: f64,
@@ -102,10 +102,10 @@
                 step_millis: 9.27,
                 per_request_millis: 0.0232,
                 per_thousand_tokens_millis: 0.0322,
-                read_per_milli: 20.7,
-                read_at_once: Some(2_048),
-                usual_prompt: 979,
-                usual_answer: 92,
+                prompt_tokens_per_milli: 20.7,
+                max_prompt_tokens_per_pass: Some(2_048),
+                mean_prompt_tokens: 979,
+                mean_answer_tokens: 92,
                 memory_tokens: 317_000,
                 models: vec![crate::MODEL.to_owned()],
             },
@@ -120,7 +120,7 @@
             near_millis: 1.0,
             far_millis: 8.0,
             impatient_share: 0.1,
-            way: Way::default(),
+            way: ReturnPolicy::default(),
             hold_millis: 0.0,
             returned_worth: RETURNED_WORTH,
         }
@@ -158,28 +158,28 @@
         let usual = Self::usual(seed);
         let slower = draw.factor(1.0 / 3.0, 1.0 / 0.3);
         let slots = draw.whole(4, 32);
-        let usual_prompt = draw.factor(200.0, 2_000.0) as u32;
-        let usual_answer = draw.factor(30.0, 200.0) as u32;
+        let mean_prompt_tokens = draw.factor(200.0, 2_000.0) as u32;
+        let mean_answer_tokens = draw.factor(30.0, 200.0) as u32;
         let model = EngineModel {
             slots,
             stride: draw.whole(1, 8),
             step_millis: 9.27 * slower,
             per_request_millis: 0.0232 * slower,
             per_thousand_tokens_millis: 0.0322 * slower,
-            read_per_milli: 20.7 / slower,
-            usual_prompt,
-            usual_answer,
+            prompt_tokens_per_milli: 20.7 / slower,
+            mean_prompt_tokens,
+            mean_answer_tokens,
             // Room for all slots, or for three quarters of them.
-            memory_tokens: (f64::from(slots * (usual_prompt + usual_answer))
+            memory_tokens: (f64::from(slots * (mean_prompt_tokens + mean_answer_tokens))
                 * draw.between(0.75, 8.0)) as u64
-                + 3 * u64::from(LARGEST as u32 * (usual_prompt + usual_answer)),
+                + 3 * u64::from(LARGEST as u32 * (mean_prompt_tokens + mean_answer_tokens)),
             ..usual.model.clone()
         };
         let zones = draw.whole(1, 3) as usize;
         let far_millis = draw.between(2.0, 40.0);
         // What the largest prompt takes at an engine half full, with room for one beside it.
         let passes = 2.5 * prediction::pass_millis(&model, f64::from(slots) / 2.0);
-        let largest = LARGEST * prediction::usual_reading_millis(&model);
+        let largest = LARGEST * prediction::mean_prompt_millis(&model);
         let least = passes + 2.0 * largest + 2.0 * far_millis + 60.0;
         Self {
             engines: zones * draw.whole(2, 5) as usize,
@@ -198,7 +198,7 @@
 
     /// Requests a millisecond that all engines can run.
     pub fn capacity_per_milli(&self) -> f64 {
-        self.engines as f64 / prediction::work_millis(&self.model)
+        self.engines as f64 / prediction::mean_work_millis(&self.model)
     }
 
     /// Longest time that a caller waits, in milliseconds.
--- a/crates/gingerpier_serving/tests/decisions.rs
+++ b/crates/gingerpier_serving/tests/decisions.rs
@@ -8,20 +8,21 @@
         backlog::Backlog,
         budget::{self, Budget},
         configuration::{
-            Configuration, EngineModel, Limits, Repeat, Route, Service, ServiceKey, ServiceKind,
-            Target, Tenant,
+            Account, Configuration, EngineModel, Limits, Repeat, Route, Service, ServiceKey,
+            ServiceKind, Target,
         },
-        course::{Failure, Next, Standing},
-        evenness::Even,
         events::Splitter,
+        fairness::Adjustment,
         fleet::{EngineKey, Fleet, Record, State},
         mirror::{Item, Mirror, Revision},
-        pace::Pace,
-        precedence, prediction,
-        region::Homes,
+        pacing::Pacer,
+        prediction,
+        region::RegionSet,
         report::{Held, Report, Version},
+        retry::{Action, Failure, RetryState},
+        shedding,
         update_schedule::{self, Bound, Position, ReleaseTime, Validity},
-        warmth,
+        warmup,
     },
     proptest::prelude::*,
 };
@@ -37,10 +38,10 @@
         step_millis: 9.27,
         per_request_millis: 0.0232,
         per_thousand_tokens_millis: 0.0322,
-        read_per_milli: 20.7,
-        read_at_once: Some(2_048),
-        usual_prompt: 979,
-        usual_answer: 92,
+        prompt_tokens_per_milli: 20.7,
+        max_prompt_tokens_per_pass: Some(2_048),
+        mean_prompt_tokens: 979,
+        mean_answer_tokens: 92,
         memory_tokens: 317_000,
         models: vec!["m".to_owned()],
     }
@@ -48,12 +49,12 @@
 
 fn report(version: u64, active: u32) -> Report {
     Report {
-        held: vec![Held {
+        loaded: vec![Held {
             model: "m".to_owned(),
             version: Version(version),
         }],
         active,
-        pace: 1.0,
+        slowdown: 1.0,
         ..Report::default()
     }
 }
@@ -107,15 +108,15 @@
         resume_version: None,
         prompt_tokens: 0,
         target_millis: 500,
-        target_share: precedence::TARGET_SHARE,
-        fairness: Even::default(),
+        target_share: shedding::TARGET_SHARE,
+        fairness: Adjustment::default(),
         gateway_count: 6,
         zone: "z",
         other_arrivals_per_milli: 0.0,
         tried_engines: &[],
         may_crash_engine: false,
-        allowed_regions: Homes::ANYWHERE,
-        cold_limits: warmth::Terms::NEVER,
+        allowed_regions: RegionSet::ALL,
+        cold_limits: warmup::ColdLimits::NEVER_COLD,
     }
 }
 
@@ -135,20 +136,20 @@
     assert_eq!(count(&Fleet::default()), "none");
     let (mut fleet, keys) = fleet(6);
     let empty = Report {
-        held: Vec::new(),
+        loaded: Vec::new(),
         ..report(1, 0)
     };
-    fleet.engine_mut(keys[0]).note_report(empty, at(900));
+    fleet.engine_mut(keys[0]).record_report(empty, at(900));
     fleet
         .engine_mut(keys[1])
-        .note_report(report(1, 200), at(900));
-    fleet.engine_mut(keys[2]).note_report(report(1, 0), at(0));
-    fleet.engine_mut(keys[3]).note_failure(at(900));
+        .record_report(report(1, 200), at(900));
+    fleet.engine_mut(keys[2]).record_report(report(1, 0), at(0));
+    fleet.engine_mut(keys[3]).record_failure(at(900));
     let busy = Report {
         is_busy: true,
         ..report(1, 0)
     };
-    fleet.engine_mut(keys[4]).note_report(busy, at(900));
+    fleet.engine_mut(keys[4]).record_report(busy, at(900));
     assert_eq!(
         count(&fleet),
         "empty:1,ordered:1,resting:1,silent:1,full:1,open:1"
@@ -160,7 +161,9 @@
 fn refusal_reports_the_components_of_its_prediction() {
     let (model, tried) = (model(), []);
     let (mut fleet, keys) = fleet(1);
-    fleet.engine_mut(keys[0]).note_report(report(1, 20), at(0));
+    fleet
+        .engine_mut(keys[0])
+        .record_report(report(1, 20), at(0));
     let refusal = |tokens| {
         let criteria = Criteria {
             prompt_tokens: tokens,
@@ -172,18 +175,24 @@
         }
     };
     let (average, large) = (refusal(979), refusal(2_937));
-    assert_eq!(average.components.queue, large.components.queue);
-    assert_eq!(average.components.others, large.components.others);
+    assert_eq!(
+        average.components.queue_millis,
+        large.components.queue_millis
+    );
+    assert_eq!(
+        average.components.other_prompts_millis,
+        large.components.other_prompts_millis
+    );
     assert!(
-        large.components.own > 2.9 * average.components.own,
+        large.components.own_prompt_millis > 2.9 * average.components.own_prompt_millis,
         "{large:?}"
     );
-    let sum = large.components.queue
-        + large.components.passes
-        + large.components.others
-        + large.components.own;
+    let sum = large.components.queue_millis
+        + large.components.pass_millis
+        + large.components.other_prompts_millis
+        + large.components.own_prompt_millis;
     assert_eq!(large.predicted_millis(), sum);
-    assert_eq!(large.bound_millis, 500.0 * precedence::TARGET_SHARE);
+    assert_eq!(large.bound_millis, 500.0 * shedding::TARGET_SHARE);
 }
 
 /// Guards against permanent refusal of a prompt that misses its target even on an idle engine.
@@ -195,10 +204,12 @@
         ..criteria(&model, &[], &tried)
     };
     let (mut fleet, keys) = fleet(1);
-    fleet.engine_mut(keys[0]).note_report(report(1, 0), at(0));
+    fleet.engine_mut(keys[0]).record_report(report(1, 0), at(0));
     let choose = |fleet: &Fleet| selected_engine(admission::choose(fleet, &large, at(10), 0));
     assert_eq!(choose(&fleet), Some(keys[0]));
-    fleet.engine_mut(keys[0]).note_report(report(1, 40), at(0));
+    fleet
+        .engine_mut(keys[0])
+        .record_report(report(1, 40), at(0));
     assert_eq!(
         choose(&fleet),
         None,
@@ -216,13 +227,13 @@
     };
     let (mut fleet, keys) = fleet(1);
     let slow = |active| Report {
-        pace: 3.0,
+        slowdown: 3.0,
         ..report(1, active)
     };
-    fleet.engine_mut(keys[0]).note_report(slow(0), at(0));
+    fleet.engine_mut(keys[0]).record_report(slow(0), at(0));
     let choose = |fleet: &Fleet| selected_engine(admission::choose(fleet, &large, at(10), 0));
     assert_eq!(choose(&fleet), Some(keys[0]));
-    fleet.engine_mut(keys[0]).note_report(slow(16), at(0));
+    fleet.engine_mut(keys[0]).record_report(slow(16), at(0));
     assert_eq!(
         choose(&fleet),
         None,
@@ -237,18 +248,18 @@
     let returned = Criteria {
         gateway_count: 40,
         target_millis: 400,
-        target_share: precedence::LEFT_SHARE,
+        target_share: shedding::MIN_TARGET_SHARE,
         ..criteria(&model, &[], &tried)
     };
     let (mut fleet, keys) = fleet(40);
     let empty = Report {
-        held: Vec::new(),
+        loaded: Vec::new(),
         ..report(1, 0)
     };
     for key in &keys[1..] {
-        fleet.engine_mut(*key).note_report(empty.clone(), at(0));
+        fleet.engine_mut(*key).record_report(empty.clone(), at(0));
     }
-    fleet.engine_mut(keys[0]).note_report(report(1, 0), at(0));
+    fleet.engine_mut(keys[0]).record_report(report(1, 0), at(0));
     let refused = (0..1_000).filter(|draw| {
         let choice = admission::choose(&fleet, &returned, at(10), *draw);
         selected_engine(choice).is_none()
@@ -294,11 +305,15 @@
     let (mut fleet, keys) = fleet(2);
     let model = model();
     for (key, active) in keys.iter().zip([40, 3]) {
-        fleet.engine_mut(*key).note_report(report(1, active), at(0));
+        fleet
+            .engine_mut(*key)
+            .record_report(report(1, active), at(0));
     }
     let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert_eq!(selected_engine(choice), Some(keys[1]));
-    fleet.engine_mut(keys[1]).note_report(report(1, 40), at(0));
+    fleet
+        .engine_mut(keys[1])
+        .record_report(report(1, 40), at(0));
     let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert!(matches!(choice, Choice::Full(_)));
 }
@@ -306,9 +321,11 @@
 #[test]
 fn own_requests_count_before_a_report_includes_them() {
     let (mut fleet, keys) = fleet(1);
-    fleet.engine_mut(keys[0]).note_report(report(1, 10), at(0));
+    fleet
+        .engine_mut(keys[0])
+        .record_report(report(1, 10), at(0));
     for _ in 0..12 {
-        fleet.engine_mut(keys[0]).note_sent(979, at(1));
+        fleet.engine_mut(keys[0]).record_sent(979, at(1));
     }
     assert!(fleet.engine(keys[0]).occupancy(at(2)) >= 22.0);
 }
@@ -317,7 +334,7 @@
 fn engine_without_responses_gets_one_trial_request_after_its_backoff() {
     let (mut fleet, keys) = fleet(1);
     let model = model();
-    fleet.engine_mut(keys[0]).note_silence(at(0));
+    fleet.engine_mut(keys[0]).record_timeout(at(0));
     let choose = |fleet: &Fleet, now| {
         selected_engine(admission::choose(
             fleet,
@@ -328,13 +345,13 @@
     };
     assert_eq!(choose(&fleet, at(900)), None);
     assert_eq!(choose(&fleet, at(1_100)), Some(keys[0]));
-    fleet.engine_mut(keys[0]).note_sent(979, at(1_100));
+    fleet.engine_mut(keys[0]).record_sent(979, at(1_100));
     assert_eq!(
         choose(&fleet, at(1_200)),
         None,
         "only one trial request at a time"
     );
-    fleet.engine_mut(keys[0]).note_success();
+    fleet.engine_mut(keys[0]).record_success();
     assert_eq!(choose(&fleet, at(1_300)), Some(keys[0]));
 }
 
@@ -342,13 +359,13 @@
 fn overdue_reports_and_acknowledgements_count_as_silence() {
     let (mut fleet, keys) = fleet(1);
     let engine = fleet.engine_mut(keys[0]);
-    engine.note_report(report(1, 0), at(0));
-    assert_eq!(engine.silence(at(300)), 0);
-    assert_eq!(engine.silence(at(1_350)), 1_000);
-    engine.note_echo(at(0));
-    engine.note_report(report(1, 0), at(3_000));
+    engine.record_report(report(1, 0), at(0));
+    assert_eq!(engine.overdue_millis(at(300)), 0);
+    assert_eq!(engine.overdue_millis(at(1_350)), 1_000);
+    engine.record_ack(at(0));
+    engine.record_report(report(1, 0), at(3_000));
     assert_eq!(
-        engine.silence(at(3_100)),
+        engine.overdue_millis(at(3_100)),
         2_000,
         "reports arrive but acknowledgements do not"
     );
@@ -383,7 +400,7 @@
         version: Version(2),
         at: at(8_000),
     }];
-    fleet.engine_mut(keys[0]).note_silence(at(0));
+    fleet.engine_mut(keys[0]).record_timeout(at(0));
     let choose = |due: &[Cutover]| {
         selected_engine(admission::choose(
             &fleet,
@@ -404,7 +421,7 @@
 fn stream_resumes_only_on_its_own_version() {
     let (mut fleet, keys) = fleet(2);
     let model = model();
-    fleet.engine_mut(keys[1]).note_report(report(2, 0), at(0));
+    fleet.engine_mut(keys[1]).record_report(report(2, 0), at(0));
     let resumed = Criteria {
         resume_version: Some(Version(2)),
         ..criteria(&model, &[], &[])
@@ -423,8 +440,8 @@
     assert_eq!(selected_engine(choice), None);
 }
 
-fn standing(repeat: Repeat) -> Standing {
-    Standing {
+fn retry_state(repeat: Repeat) -> RetryState {
+    RetryState {
         repeat,
         attempts: 1,
         max_attempts: 2,
@@ -436,46 +453,61 @@
 #[test]
 fn non_idempotent_request_is_not_retried_after_it_may_have_run() {
     let pay = || true;
-    let mut once = standing(Repeat::Once);
-    assert_eq!(once.after(Failure::Unknown, at(0), pay), Next::Fail);
-    let mut safe = standing(Repeat::Safe);
-    assert_eq!(safe.after(Failure::Unknown, at(0), pay), Next::TryAnother);
-    let mut once = standing(Repeat::Once);
-    assert_eq!(once.after(Failure::NotRun, at(0), pay), Next::TryAnother);
+    let mut once = retry_state(Repeat::Once);
+    assert_eq!(
+        once.record_failure(Failure::Unknown, at(0), pay),
+        Action::Fail
+    );
+    let mut safe = retry_state(Repeat::Safe);
+    assert_eq!(
+        safe.record_failure(Failure::Unknown, at(0), pay),
+        Action::Retry
+    );
+    let mut once = retry_state(Repeat::Once);
+    assert_eq!(
+        once.record_failure(Failure::NotRun, at(0), pay),
+        Action::Retry
+    );
 }
 
 #[test]
 fn request_that_may_have_run_is_never_reported_as_not_run() {
-    let mut once = standing(Repeat::Once);
-    assert_eq!(once.after(Failure::NotRun, at(0), || false), Next::Refuse);
+    let mut once = retry_state(Repeat::Once);
     assert_eq!(
-        once.after(Failure::NotRun, at(2_000), || true),
-        Next::Refuse
+        once.record_failure(Failure::NotRun, at(0), || false),
+        Action::Refuse
     );
     assert_eq!(
-        once.after(Failure::Unknown, at(2_000), || true),
-        Next::TimeOut
+        once.record_failure(Failure::NotRun, at(2_000), || true),
+        Action::Refuse
+    );
+    assert_eq!(
+        once.record_failure(Failure::Unknown, at(2_000), || true),
+        Action::TimeOut
     );
     // Confirmation that a later attempt didn't run doesn't apply to the first one.
-    assert_eq!(once.after(Failure::NotRun, at(0), || true), Next::Fail);
+    assert_eq!(
+        once.record_failure(Failure::NotRun, at(0), || true),
+        Action::Fail
+    );
 }
 
-fn terms() -> budget::Terms {
-    budget::Terms {
+fn limits() -> budget::Limits {
+    budget::Limits {
         ratio: 0.2,
         extra: 100,
         window_millis: 10_000,
-        members: 10,
+        gateways: 10,
     }
 }
 
 #[test]
 fn extra_retries_are_divided_among_gateways_and_renewed_after_a_window() {
-    let mut budget = Budget::new(terms());
-    let taken = (0..100).filter(|_| budget.take(at(0))).count();
+    let mut budget = Budget::new(limits());
+    let taken = (0..100).filter(|_| budget.try_spend(at(0))).count();
     assert_eq!(taken, 10);
-    assert!(!budget.take(at(9_000)));
-    assert!(budget.take(at(10_001)));
+    assert!(!budget.try_spend(at(9_000)));
+    assert!(budget.try_spend(at(10_001)));
 }
 
 proptest! {
@@ -483,14 +515,14 @@
     fn retries_of_all_gateways_stay_within_the_bound(
         steps in prop::collection::vec((0_u64..400, any::<bool>(), 0_usize..10), 1..400),
     ) {
-        let mut budgets = vec![Budget::new(terms()); 10];
+        let mut budgets = vec![Budget::new(limits()); 10];
         let (mut now, mut requests, mut retries) = (0, Vec::new(), Vec::new());
         for (wait, is_request, gateway) in steps {
             now += wait;
             if is_request {
-                budgets[gateway].note_request(at(now));
+                budgets[gateway].record_first_attempt(at(now));
                 requests.push(now);
-            } else if budgets[gateway].take(at(now)) {
+            } else if budgets[gateway].try_spend(at(now)) {
                 retries.push(now);
             }
             let within = |times: &[u64]| times.iter().filter(|time| now - **time <= 10_000).count();
@@ -590,7 +622,7 @@
         repeat: Repeat::Safe,
         timeout_millis: 1_000,
         target_millis: 100,
-        pause_millis: 100,
+        max_pause_millis: 100,
         priority: 0,
         targets: vec![Target {
             service: ServiceKey(service),
@@ -610,7 +642,7 @@
         cold_per_second: 0.0,
         kind: ServiceKind::Plain,
     };
-    let tenant = Tenant {
+    let account = Account {
         name: "t".to_owned(),
         priority: None,
         keys: vec!["k".to_owned()],
@@ -618,7 +650,7 @@
     };
     let routes = vec![route("/a/", 0), route("/a/b/", 0)];
     let configuration =
-        Configuration::new(1, Limits::default(), routes, vec![service], vec![tenant]);
+        Configuration::new(1, Limits::default(), routes, vec![service], vec![account]);
     let name = |path| {
         let key = configuration.find("host.example:80", path)?;
         Some(configuration.route(key).name.as_str())
@@ -627,8 +659,8 @@
     assert_eq!(name("/a/bc"), Some("/a/"));
     assert_eq!(name("/b/"), None);
     assert!(configuration.find("other.example", "/a/").is_none());
-    assert!(configuration.tenant_of("k").is_some());
-    assert!(configuration.tenant_of("K").is_none());
+    assert!(configuration.account_of("k").is_some());
+    assert!(configuration.account_of("K").is_none());
 }
 
 const UPDATE_TERMS: Bound = Bound {
@@ -704,16 +736,17 @@
 fn pending_prompts_of_other_gateways_count() {
     let (mut fleet, keys) = fleet(2);
     let model = model();
-    for (key, unread_tokens) in keys.iter().zip([9_000, 0]) {
+    for (key, pending_prompt_tokens) in keys.iter().zip([9_000, 0]) {
         let report = Report {
-            unread_tokens,
+            pending_prompt_tokens,
             ..report(1, 8)
         };
-        fleet.engine_mut(*key).note_report(report, at(0));
+        fleet.engine_mut(*key).record_report(report, at(0));
     }
     let choice = admission::choose(&fleet, &criteria(&model, &[], &[]), at(1), 0);
     assert_eq!(selected_engine(choice), Some(keys[1]));
-    let first = prediction::first_event(fleet.engine(keys[0]), &model, 979, 0.0, at(0)).sum();
+    let first = prediction::predict_first_event(fleet.engine(keys[0]), &model, 979, 0.0, at(0))
+        .total_millis();
     assert!(
         first > 9_979.0 / 20.7,
         "{first} ms, but all pending prompts are processed first"
@@ -724,10 +757,10 @@
 fn prediction_includes_arrivals_since_the_report() {
     let (mut fleet, keys) = fleet(1);
     let model = model();
-    fleet.engine_mut(keys[0]).note_report(report(1, 4), at(0));
+    fleet.engine_mut(keys[0]).record_report(report(1, 4), at(0));
     let first = |now| {
         let engine = fleet.engine(keys[0]);
-        prediction::first_event(engine, &model, 979, 0.01, now).sum()
+        prediction::predict_first_event(engine, &model, 979, 0.01, now).total_millis()
     };
     assert!(first(at(200)) > first(at(20)) + 100.0);
 }
@@ -736,18 +769,18 @@
 fn backlog_follows_admitted_and_processed_prompts() {
     let model = model();
     let mut backlog = Backlog::default();
-    let report = |active, memory_used| Report {
-        memory_used,
+    let report = |active, memory_used_tokens| Report {
+        memory_used_tokens,
         ..report(1, active)
     };
-    backlog.note(&report(0, 0), &model, at(0));
-    let admitted = backlog.note(&report(4, 4_000), &model, at(50));
+    backlog.update(&report(0, 0), &model, at(0));
+    let admitted = backlog.update(&report(4, 4_000), &model, at(50));
     assert!((3_900..=4_000).contains(&admitted), "{admitted}");
-    let remaining = backlog.note(&report(4, 4_000), &model, at(150));
+    let remaining = backlog.update(&report(4, 4_000), &model, at(150));
     assert!(remaining < 3_000, "{remaining} tokens left after 100 ms");
-    let later = backlog.note(&report(4, 4_100), &model, at(1_150));
+    let later = backlog.update(&report(4, 4_100), &model, at(1_150));
     assert!(later < 100, "answers also grow memory: {later}");
-    let gone = backlog.note(&report(0, 0), &model, at(1_200));
+    let gone = backlog.update(&report(0, 0), &model, at(1_200));
     assert_eq!(gone, 0, "tokens that are not in memory need no processing");
 }
 
@@ -759,12 +792,12 @@
         ..report(1, 4)
     };
     let engine = fleet.engine_mut(keys[0]);
-    assert_eq!(engine.closed_millis(at(0)), None);
-    engine.note_report(busy.clone(), at(0));
-    engine.note_report(busy, at(50));
-    assert_eq!(engine.closed_millis(at(300)), Some(300));
-    engine.note_report(report(2, 0), at(400));
-    assert_eq!(engine.closed_millis(at(500)), None);
+    assert_eq!(engine.blocked_millis(at(0)), None);
+    engine.record_report(busy.clone(), at(0));
+    engine.record_report(busy, at(50));
+    assert_eq!(engine.blocked_millis(at(300)), Some(300));
+    engine.record_report(report(2, 0), at(400));
+    assert_eq!(engine.blocked_millis(at(500)), None);
 }
 
 #[test]
@@ -789,7 +822,7 @@
     );
     for _ in 0..50 {
         // Twice the unshared time, with as many concurrent requests as slots.
-        fleet.engine_mut(keys[0]).note_work(80.0, 2.0);
+        fleet.engine_mut(keys[0]).record_work(80.0, 2.0);
     }
     assert!((predicted(&fleet) - 40.0).abs() < 1.0);
 }
@@ -798,7 +831,7 @@
 fn arrival_rate_follows_recent_arrivals() {
     let mut arrivals = Arrivals::default();
     for turn in 0..50 {
-        arrivals.note(at(turn * 10));
+        arrivals.record(at(turn * 10));
     }
     let soon = arrivals.per_milli(at(500));
     assert!(
@@ -806,7 +839,7 @@
         "{soon} half a second after the first"
     );
     for turn in 50..1_000 {
-        arrivals.note(at(turn * 10));
+        arrivals.record(at(turn * 10));
     }
     let rate = arrivals.per_milli(at(10_000));
     assert!((0.09..0.11).contains(&rate), "{rate}");
@@ -818,7 +851,7 @@
 
 #[test]
 fn bulk_transfers_leave_part_of_the_link_free() {
-    let mut pace = Pace::new(8_000_000);
+    let mut pace = Pacer::new(8_000_000);
     assert_eq!(pace.reserve(1_000, at(0)), at(0));
     let mut last = at(0);
     for _ in 0..100 {
@@ -855,7 +888,7 @@
     for (index, key) in keys.iter().enumerate() {
         let active = if index == 0 { 0 } else { 2 };
         let engine = fleet.engine_mut(*key);
-        engine.note_report(report(1, active), at(0));
+        engine.record_report(report(1, active), at(0));
     }
     let model = model();
     let criteria = Criteria {
