--- a/crates/gingerpier_cli/src/desk.rs
+++ b/crates/gingerpier_cli/src/desk.rs
@@ -4,7 +4,7 @@
     crate::error::Error,
     awc::{Client, Connector},
     gingerpier_daemon::{
-        operate::{self, Answered, Asked},
+        operator_api::{self, StatementRequest, StatementResponse},
         run,
     },
     gingerpier_link::Credentials,
@@ -32,7 +32,7 @@
     ///
     /// Where the settings or the keys are wrong.
     pub fn open(settings: &Path) -> Result<Self, Error> {
-        match run::settings(settings)? {
+        match run::read_settings(settings)? {
             Settings::Operator(operator) => Self::of(&operator),
             Settings::Entry(_)
             | Settings::Backend(_)
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// Where none answers.
-    pub async fn ask(&self, asked: &Asked) -> Result<Answered, Error> {
+    pub async fn ask(&self, asked: &StatementRequest) -> Result<StatementResponse, Error> {
         let mut last = "the settings name none".to_owned();
         for entry in &self.entries {
             match self.ask_one(*entry, asked).await {
@@ -80,8 +80,12 @@
         Err(Error::NoEntry(last))
     }
 
-    async fn ask_one(&self, entry: SocketAddr, asked: &Asked) -> Result<Answered, String> {
-        let url = format!("https://{entry}{}", operate::PATH);
+    async fn ask_one(
+        &self,
+        entry: SocketAddr,
+        asked: &StatementRequest,
+    ) -> Result<StatementResponse, String> {
+        let url = format!("https://{entry}{}", operator_api::PATH);
         let patience = PATIENCE + Duration::from_millis(asked.wait_millis);
         let sent = self.http.post(url).timeout(patience).send_json(asked).await;
         let mut answer = sent.map_err(|what| what.to_string())?;
@@ -98,8 +102,8 @@
 }
 
 /// A request with a new identity.
-pub fn request(text: &str, wait_millis: u64) -> Asked {
-    Asked {
+pub fn request(text: &str, wait_millis: u64) -> StatementRequest {
+    StatementRequest {
         identity: new_identity(),
         text: text.to_owned(),
         wait_millis,
--- a/crates/gingerpier_cli/src/main.rs
+++ b/crates/gingerpier_cli/src/main.rs
@@ -10,7 +10,7 @@
         exit::Exit,
         held, keys, manifest, show, watch,
     },
-    gingerpier_daemon::{operate::Asked, run},
+    gingerpier_daemon::{operator_api::StatementRequest, run},
     std::{io, path::Path, process::ExitCode},
 };
 
@@ -40,7 +40,7 @@
             statement,
         } => {
             let identity = identity.unwrap_or_else(new_identity);
-            let asked = Asked {
+            let asked = StatementRequest {
                 identity,
                 text: statement.join(" "),
                 wait_millis,
@@ -83,7 +83,7 @@
             Ok(Exit::Done)
         }
         Command::Check { file } => {
-            run::settings(&file)?;
+            run::read_settings(&file)?;
             println!("{} is right", file.display());
             Ok(Exit::Done)
         }
@@ -101,7 +101,7 @@
     }
 }
 
-async fn ask(settings: &Path, asked: &Asked, json: bool) -> Result<Exit, Error> {
+async fn ask(settings: &Path, asked: &StatementRequest, json: bool) -> Result<Exit, Error> {
     // A mistake in the text is found here already, without an entry box.
     gingerpier_language::parse(&asked.text).map_err(Error::Statement)?;
     let answered = Desk::open(settings)?.ask(asked).await?;
--- a/crates/gingerpier_cli/src/show.rs
+++ b/crates/gingerpier_cli/src/show.rs
@@ -3,11 +3,11 @@
 use {
     crate::exit::Exit,
     comfy_table::{Table as Drawn, presets},
-    gingerpier_daemon::{operate::Answered, table::Table},
+    gingerpier_daemon::{operator_api::StatementResponse, table::Table},
 };
 
 /// Prints an answer, and tells how it came out.
-pub fn answer(answered: &Answered, identity: &str, json: bool) -> Exit {
+pub fn answer(answered: &StatementResponse, identity: &str, json: bool) -> Exit {
     if json {
         match serde_json::to_string_pretty(answered) {
             Ok(text) => println!("{text}"),
@@ -19,20 +19,20 @@
     exit(answered)
 }
 
-fn exit(answered: &Answered) -> Exit {
+fn exit(answered: &StatementResponse) -> Exit {
     match answered {
-        Answered::Table { .. } | Answered::WouldAccept { .. } => Exit::Done,
-        Answered::Accepted { behind, .. } if behind.is_empty() => Exit::Done,
-        Answered::Accepted { .. } => Exit::Behind,
-        Answered::Refused { .. } => Exit::Refused,
-        Answered::Unavailable { .. } => Exit::Unavailable,
-        Answered::Unknown { .. } => Exit::Unknown,
+        StatementResponse::Table { .. } | StatementResponse::WouldAccept { .. } => Exit::Done,
+        StatementResponse::Accepted { behind, .. } if behind.is_empty() => Exit::Done,
+        StatementResponse::Accepted { .. } => Exit::Behind,
+        StatementResponse::Refused { .. } => Exit::Refused,
+        StatementResponse::Unavailable { .. } => Exit::Unavailable,
+        StatementResponse::Unknown { .. } => Exit::Unknown,
     }
 }
 
-fn in_words(answered: &Answered, identity: &str) {
+fn in_words(answered: &StatementResponse, identity: &str) {
     match answered {
-        Answered::Table {
+        StatementResponse::Table {
             revision,
             key_value_reachable,
             table: shown,
@@ -45,7 +45,7 @@
             };
             println!("{} rows at revision {revision}{note}", shown.rows.len());
         }
-        Answered::Accepted {
+        StatementResponse::Accepted {
             revision,
             repeated,
             behind,
@@ -60,10 +60,10 @@
                 println!("not yet in force at: {}", behind.join(", "));
             }
         }
-        Answered::WouldAccept { revision } => {
+        StatementResponse::WouldAccept { revision } => {
             println!("would be accepted at revision {revision}; nothing was changed");
         }
-        Answered::Refused {
+        StatementResponse::Refused {
             why,
             revision,
             last_change,
@@ -73,8 +73,10 @@
                 eprintln!("in force: revision {revision}; last change: {change}");
             }
         }
-        Answered::Unavailable { why } => eprintln!("out of reach, nothing was changed: {why}"),
-        Answered::Unknown { why } => {
+        StatementResponse::Unavailable { why } => {
+            eprintln!("out of reach, nothing was changed: {why}")
+        }
+        StatementResponse::Unknown { why } => {
             eprintln!("unknown: {why}");
             eprintln!("ask again with --identity {identity}; it is carried out once at most");
         }
--- a/crates/gingerpier_cli/src/watch.rs
+++ b/crates/gingerpier_cli/src/watch.rs
@@ -8,7 +8,7 @@
         show,
     },
     gingerpier_base::Name,
-    gingerpier_daemon::{operate::Answered, table::Table},
+    gingerpier_daemon::{operator_api::StatementResponse, table::Table},
     std::time::Duration,
 };
 
@@ -39,7 +39,7 @@
 async fn ask(desk: &Desk, text: &str) -> Result<Result<Table, Exit>, Error> {
     let asked = request(text, 0);
     Ok(match desk.ask(&asked).await? {
-        Answered::Table { table, .. } => Ok(table),
+        StatementResponse::Table { table, .. } => Ok(table),
         other => Err(show::answer(&other, &asked.identity, false)),
     })
 }
--- a/crates/gingerpier_daemon/src/backend/attempts.rs
+++ b/crates/gingerpier_daemon/src/backend/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at a backend server: deduplicated, run at an engine, and their responses relayed.
 
 use {
-    super::{Backend, engines::Upstream},
+    super::{Backend, upstreams::Upstream},
     crate::clock,
     bytes::Bytes,
     futures_util::future::Either,
--- a/crates/gingerpier_daemon/src/backend/chunk_requests.rs
+++ b/crates/gingerpier_daemon/src/backend/chunk_requests.rs
@@ -4,8 +4,8 @@
     super::{
         Backend,
         fetches::{Origin, VersionFetch},
-        pace::PART_BYTES,
-        serving::PENDING_INTERVAL_MILLIS,
+        pacing::PART_BYTES,
+        weights_server::PENDING_INTERVAL_MILLIS,
     },
     crate::{
         clock,
--- a/crates/gingerpier_daemon/src/backend/fetches.rs
+++ b/crates/gingerpier_daemon/src/backend/fetches.rs
@@ -4,9 +4,9 @@
     super::{
         Backend,
         chunk_requests::{ChunkRequest, ChunkRequests, Failure, FinishedRequest},
-        engines::Progress,
-        serving::MAX_WAIT_MILLIS,
-        weights::CachedManifest,
+        upstreams::Progress,
+        weights_cache::CachedManifest,
+        weights_server::MAX_WAIT_MILLIS,
     },
     crate::clock,
     bytes::BytesMut,
--- a/crates/gingerpier_daemon/src/backend/mod.rs
+++ b/crates/gingerpier_daemon/src/backend/mod.rs
@@ -3,17 +3,17 @@
 
 pub mod attempts;
 pub mod chunk_requests;
-pub mod engines;
 pub mod fetches;
-pub mod pace;
+pub mod pacing;
 pub mod peers;
-pub mod serving;
-pub mod weights;
+pub mod upstreams;
+pub mod weights_cache;
+pub mod weights_server;
 
 use {
     self::{
-        attempts::Attempts, engines::Upstream, pace::Pacer, peers::PeerDirectory,
-        weights::WeightsCache,
+        attempts::Attempts, pacing::Pacer, peers::PeerDirectory, upstreams::Upstream,
+        weights_cache::WeightsCache,
     },
     crate::{clock, error::Error, process::Process},
     gingerpier_base::{Name, place::Role},
--- a/crates/gingerpier_daemon/src/backend/peers.rs
+++ b/crates/gingerpier_daemon/src/backend/peers.rs
@@ -1,7 +1,7 @@
 //! Links of a backend server: requests of entry boxes and of other backend servers.
 
 use {
-    super::{Backend, serving::LastSent},
+    super::{Backend, weights_server::LastSent},
     crate::{catalogue_state::UpdateSource, clock},
     gingerpier_base::{
         Name,
--- a/crates/gingerpier_daemon/src/backend/serving.rs
+++ b/crates/gingerpier_daemon/src/backend/weights_server.rs
@@ -1,8 +1,8 @@
 //! Serves chunks and manifests to peers.
 
 use {
-    super::{Backend, pace::PART_BYTES, weights::WeightsCache},
-    crate::{clock, lateness::LogThrottle},
+    super::{Backend, pacing::PART_BYTES, weights_cache::WeightsCache},
+    crate::{clock, thread_delay::LogThrottle},
     bytes::Bytes,
     gingerpier_base::{Digest, Instant},
     gingerpier_link::{Error, Stream},
--- a/crates/gingerpier_daemon/src/entry/mod.rs
+++ b/crates/gingerpier_daemon/src/entry/mod.rs
@@ -3,13 +3,13 @@
 pub mod caller_request;
 pub mod callers;
 pub mod fleet;
+pub mod forward;
 pub mod links;
 pub mod operators;
 pub mod peers;
 pub mod planning;
+pub mod propagation;
 pub mod queries;
-pub mod requests;
-pub mod spreading;
 pub mod store;
 pub mod tickets;
 
--- a/crates/gingerpier_daemon/src/entry/operators.rs
+++ b/crates/gingerpier_daemon/src/entry/operators.rs
@@ -5,7 +5,7 @@
     crate::{
         clock,
         error::Error,
-        operate::{self, Answered, Asked},
+        operator_api::{self, StatementRequest, StatementResponse},
         process::listen,
     },
     actix_http::{Method, Request},
@@ -66,31 +66,35 @@
                 return answer::text(403, &why);
             }
         };
-        if request.method() != Method::POST || request.path() != operate::PATH {
+        if request.method() != Method::POST || request.path() != operator_api::PATH {
             return answer::text(
                 404,
-                &format!("statements are sent by POST to {}", operate::PATH),
+                &format!("statements are sent by POST to {}", operator_api::PATH),
             );
         }
-        match body::json::<Asked>(&mut request, MAX_BODY_BYTES).await {
+        match body::json::<StatementRequest>(&mut request, MAX_BODY_BYTES).await {
             Ok(request) => answer::json(200, &self.execute(&author, &request).await),
             Err(error) => answer::text(error.status(), &error.to_string()),
         }
     }
 
-    async fn execute(&self, author: &PeerIdentity, request: &Asked) -> Answered {
+    async fn execute(
+        &self,
+        author: &PeerIdentity,
+        request: &StatementRequest,
+    ) -> StatementResponse {
         let Some(identity) = Identity::from_hex(&request.identity) else {
             return self.refused_response("the identity is not 32 hexadecimal digits".to_owned());
         };
         match gingerpier_language::parse(&request.text) {
             Err(error) => self.refused_response(error.to_string()),
             Ok(Statement::Show(query)) => match self.run_query(&query).await {
-                Ok(table) => Answered::Table {
+                Ok(table) => StatementResponse::Table {
                     revision: self.process.catalogue_state.revision().0,
                     key_value_reachable: self.store.is_reachable(),
                     table,
                 },
-                Err(why) => Answered::Unavailable { why },
+                Err(why) => StatementResponse::Unavailable { why },
             },
             Ok(Statement::DryRun(commands)) => self.dry_run(&commands),
             Ok(Statement::Change(commands)) => {
@@ -100,14 +104,14 @@
         }
     }
 
-    fn dry_run(&self, commands: &[Command]) -> Answered {
+    fn dry_run(&self, commands: &[Command]) -> StatementResponse {
         match self
             .process
             .catalogue_state
             .catalogue()
             .try_commands(commands)
         {
-            Ok(next) => Answered::WouldAccept {
+            Ok(next) => StatementResponse::WouldAccept {
                 revision: next.revision().0,
             },
             Err(error) => self.refused_response(error.to_string()),
@@ -118,9 +122,9 @@
         &self,
         author: &PeerIdentity,
         identity: Identity,
-        request: &Asked,
+        request: &StatementRequest,
         commands: Vec<Command>,
-    ) -> Answered {
+    ) -> StatementResponse {
         let entry = LogEntry {
             identity,
             author: author.name.to_string(),
@@ -134,21 +138,21 @@
         match result {
             SubmitResult::Accepted { revision, repeated } => {
                 let boxes_behind = self.wait_for_revision(revision, request.wait_millis).await;
-                Answered::Accepted {
+                StatementResponse::Accepted {
                     revision: revision.0,
                     repeated,
                     behind: boxes_behind,
                 }
             }
             SubmitResult::Refused(refusal) => self.refused_response(refusal.to_string()),
-            SubmitResult::Unavailable(why) => Answered::Unavailable { why },
-            SubmitResult::Unknown(why) => Answered::Unknown { why },
+            SubmitResult::Unavailable(why) => StatementResponse::Unavailable { why },
+            SubmitResult::Unknown(why) => StatementResponse::Unknown { why },
         }
     }
 
-    fn refused_response(&self, why: String) -> Answered {
+    fn refused_response(&self, why: String) -> StatementResponse {
         let last_change = self.process.catalogue_state.last_entry();
-        Answered::Refused {
+        StatementResponse::Refused {
             why,
             revision: self.process.catalogue_state.revision().0,
             last_change: last_change.map(|entry| format!("{} by {}", entry.text, entry.author)),
--- a/crates/gingerpier_daemon/src/lib.rs
+++ b/crates/gingerpier_daemon/src/lib.rs
@@ -16,12 +16,12 @@
 pub mod catalogue_state;
 pub mod entry;
 pub mod error;
-pub mod lateness;
 pub mod log;
 pub mod metrics;
-pub mod operate;
+pub mod operator_api;
 pub mod process;
 pub mod run;
 pub mod table;
+pub mod thread_delay;
 
 pub use gingerpier_clock as clock;
--- a/crates/gingerpier_daemon/src/main.rs
+++ b/crates/gingerpier_daemon/src/main.rs
@@ -35,7 +35,7 @@
     match command {
         Command::Run { settings } => run::run(&settings),
         Command::Check { settings } => {
-            run::settings(&settings)?;
+            run::read_settings(&settings)?;
             println!("{} is right", settings.display());
             Ok(())
         }
--- a/crates/gingerpier_daemon/src/operate.rs
+++ b/crates/gingerpier_daemon/src/operator_api.rs
@@ -10,7 +10,7 @@
 
 /// Request with a statement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct StatementRequest {
     /// Request identity, 32 hexadecimal digits; equal for retries of one request.
     pub identity: String,
     /// Statement in the operators' language.
@@ -23,7 +23,7 @@
 /// Response to a statement.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub enum Answered {
+pub enum StatementResponse {
     /// Result of a query.
     Table {
         /// Current revision of the entry box.
--- a/crates/gingerpier_daemon/src/process.rs
+++ b/crates/gingerpier_daemon/src/process.rs
@@ -2,7 +2,7 @@
 //! shutdown.
 
 use {
-    crate::{catalogue_state::CatalogueState, clock, error::Error, lateness, metrics::Metrics},
+    crate::{catalogue_state::CatalogueState, clock, error::Error, metrics::Metrics, thread_delay},
     actix_rt::signal::unix::{SignalKind, signal},
     gingerpier_base::place::{Incarnation, Role},
     gingerpier_http::Listener,
@@ -77,7 +77,6 @@
             leaving: watch::Sender::new(false),
             last_attempt: Cell::new(0),
             links: RefCell::default(),
-            /// Bytes of closed links.
             closed_traffic: Cell::default(),
         })
     }
@@ -212,7 +211,7 @@
             }
         });
         actix_rt::spawn(clock::watch());
-        actix_rt::spawn(lateness::monitor(self.metrics.clone()));
+        actix_rt::spawn(thread_delay::monitor(self.metrics.clone()));
         actix_rt::spawn(self.metrics.clone().serve(listener));
         Ok(address)
     }
--- a/crates/gingerpier_daemon/src/run.rs
+++ b/crates/gingerpier_daemon/src/run.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// Fails if the file can't be read or has errors, and lists all of them.
-pub fn settings(path: &Path) -> Result<Settings, Error> {
+pub fn read_settings(path: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(path).map_err(|cause| Error::ReadSettings {
         path: path.to_owned(),
         cause,
@@ -29,7 +29,7 @@
 ///
 /// Fails if the daemon can't start.
 pub fn run(path: &Path) -> Result<(), Error> {
-    let settings = settings(path)?;
+    let settings = read_settings(path)?;
     actix_rt::System::new().block_on(async {
         match settings {
             Settings::Gateway(settings) => gingerpier_gateway::gateway::run(*settings, &Platform)
--- a/crates/gingerpier_fleet/src/fleet.rs
+++ b/crates/gingerpier_fleet/src/fleet.rs
@@ -10,7 +10,7 @@
     },
     awc::Client,
     gingerpier_base::{Name, place::Role},
-    gingerpier_daemon::{operate::Answered, table::Table},
+    gingerpier_daemon::{operator_api::StatementResponse, table::Table},
     gingerpier_http::Listener,
     gingerpier_link::{Authority, Identity},
     gingerpier_services::box_list::{Entry as ListedBox, Listed},
@@ -444,7 +444,7 @@
     /// # Errors
     ///
     /// Returns an error if no entry box responds.
-    pub async fn operate(&self, statement: &str) -> Result<Answered, Error> {
+    pub async fn operate(&self, statement: &str) -> Result<StatementResponse, Error> {
         self.operate_with(&[], statement).await
     }
 
@@ -453,7 +453,11 @@
     /// # Errors
     ///
     /// Returns an error if no entry box responds.
-    pub async fn operate_with(&self, more: &[&str], statement: &str) -> Result<Answered, Error> {
+    pub async fn operate_with(
+        &self,
+        more: &[&str],
+        statement: &str,
+    ) -> Result<StatementResponse, Error> {
         let arguments = [&["do", "--json"], more, &[statement]].concat();
         let (_, text) = self.gingerpier(&arguments).await?;
         serde_json::from_str(&text).map_err(|_| Error::new("operating", statement, text.trim()))
@@ -469,7 +473,7 @@
             .operate_with(&["--wait-millis", "18000"], statement)
             .await?
         {
-            Answered::Accepted {
+            StatementResponse::Accepted {
                 revision, behind, ..
             } if behind.is_empty() => Ok(revision),
             other => Err(Error::new("commanding", statement, format!("{other:?}"))),
@@ -483,7 +487,7 @@
     /// Returns an error if the query is refused or no entry box responds.
     pub async fn table(&self, query: &str) -> Result<Table, Error> {
         match self.operate(query).await? {
-            Answered::Table { table, .. } => Ok(table),
+            StatementResponse::Table { table, .. } => Ok(table),
             other => Err(Error::new("asking", query, format!("{other:?}"))),
         }
     }
--- a/crates/gingerpier_fleet/tests/control.rs
+++ b/crates/gingerpier_fleet/tests/control.rs
@@ -1,7 +1,7 @@
 //! Configuration, keys and operator commands on real processes, with outages and races.
 
 use {
-    gingerpier_daemon::operate::Answered,
+    gingerpier_daemon::operator_api::StatementResponse,
     gingerpier_fleet::{Error, Fleet, Spec, caller::RequestSpec, spec::Zone},
     gingerpier_standins::{
         engine::Ordered,
@@ -72,7 +72,7 @@
     .await?;
     let answered = fleet.operate("create model lost-answer for lm").await?;
     assert!(
-        matches!(answered, Answered::Accepted { repeated: true, .. }),
+        matches!(answered, StatementResponse::Accepted { repeated: true, .. }),
         "{answered:?}"
     );
     let table = fleet.table("show audit last 100").await?;
@@ -91,7 +91,7 @@
     let identity = ["--identity", "000000000000000000000000000000aa"];
     let statement = "create model repeated for lm";
     let first = fleet.operate_with(&identity, statement).await?;
-    let Answered::Accepted {
+    let StatementResponse::Accepted {
         revision,
         repeated: false,
         ..
@@ -101,7 +101,7 @@
     };
     let again = fleet.operate_with(&identity, statement).await?;
     assert!(
-        matches!(again, Answered::Accepted { revision: same, repeated: true, .. } if same == revision),
+        matches!(again, StatementResponse::Accepted { revision: same, repeated: true, .. } if same == revision),
         "{again:?}"
     );
     Ok(())
@@ -119,11 +119,11 @@
     let answers = [one?, other?];
     let accepted = answers
         .iter()
-        .filter(|response| matches!(response, Answered::Accepted { .. }))
+        .filter(|response| matches!(response, StatementResponse::Accepted { .. }))
         .count();
     assert_eq!(accepted, 1, "{answers:?}");
     let reported = answers.iter().any(|response| {
-        matches!(response, Answered::Refused { why, last_change: Some(change), .. }
+        matches!(response, StatementResponse::Refused { why, last_change: Some(change), .. }
             if why.contains("is being rolled out") && change.contains("by "))
     });
     assert!(reported, "{answers:?}");
@@ -332,7 +332,7 @@
     let answered = fleet
         .operate_with(&["--wait-millis", "300"], "create model cut for lm")
         .await?;
-    let Answered::Accepted {
+    let StatementResponse::Accepted {
         revision, behind, ..
     } = answered
     else {
