--- a/crates/gingerpier_daemon/src/backend/chunk_requests.rs
+++ b/crates/gingerpier_daemon/src/backend/chunk_requests.rs
@@ -4,8 +4,8 @@
     super::{
         Backend,
         fetches::{Origin, VersionFetch},
-        pace::PART_BYTES,
-        serving::PENDING_INTERVAL_MILLIS,
+        pacing::PART_BYTES,
+        weights_server::PENDING_INTERVAL_MILLIS,
     },
     crate::{
         clock,
@@ -81,6 +81,7 @@
 
 /// Error of a request to a source.
 pub(super) enum Failure {
+    /// The source is overloaded; holds the earliest time of a retry.
     Busy(Instant),
     Failed(String),
 }
--- a/crates/gingerpier_daemon/src/catalogue_state.rs
+++ b/crates/gingerpier_daemon/src/catalogue_state.rs
@@ -31,6 +31,7 @@
 pub struct CatalogueState {
     catalogue: RefCell<Rc<Catalogue>>,
     recent_records: RefCell<VecDeque<Rc<Record>>>,
+    /// Source of the current revision.
     update_source: Cell<UpdateSource>,
     revision: watch::Sender<Revision>,
 }
