--- a/crates/gingerpier_daemon/src/backend/peers.rs
+++ b/crates/gingerpier_daemon/src/backend/peers.rs
@@ -1,7 +1,7 @@
 //! Links of a backend server: requests of entry boxes and of other backend servers.
 
 use {
-    super::{Backend, serving::LastSent},
+    super::{Backend, weights_server::LastSent},
     crate::{catalogue_state::UpdateSource, clock},
     gingerpier_base::{
         Name,
@@ -250,6 +250,6 @@
     if result.is_ok() {
         stream.finish();
         // A peer that doesn't read the end loses nothing.
-        let _ = actix_rt::time::timeout(TIMEOUT, stream.peer_stopped()).await;
+        let _ = actix_rt::time::timeout(TIMEOUT, stream.wait_until_stopped()).await;
     }
 }
--- a/crates/gingerpier_daemon/src/entry/requests.rs
+++ b/crates/gingerpier_daemon/src/entry/forward.rs
@@ -494,11 +494,13 @@
 
 /// Message of a backend server about an attempt.
 enum Message {
-    /// Requests of other entry boxes at the engine.
+    /// Number of requests of other entry boxes at the engine.
     Load(u32),
     Head(Head),
     Bytes(Bytes),
+    /// The response is complete.
     End,
+    /// The attempt ended otherwise.
     Event(Event),
 }
 
@@ -549,7 +551,7 @@
 ) -> Result<Message, gingerpier_link::Error> {
     let mut stream = link.open().await?;
     stream.send(&Request::Attempt(attempt)).await?;
-    stream.send_held(body).await?;
+    stream.send_shared(body).await?;
     stream.finish();
     let mut bytes = 0;
     loop {
