--- a/crates/gingerpier_daemon/src/process.rs
+++ b/crates/gingerpier_daemon/src/process.rs
@@ -2,7 +2,7 @@
 //! shutdown.
 
 use {
-    crate::{catalogue_state::CatalogueState, clock, error::Error, lateness, metrics::Metrics},
+    crate::{catalogue_state::CatalogueState, clock, error::Error, metrics::Metrics, thread_delay},
     actix_rt::signal::unix::{SignalKind, signal},
     gingerpier_base::place::{Incarnation, Role},
     gingerpier_http::Listener,
@@ -38,11 +38,13 @@
     pub http: awc::Client,
     endpoint: RefCell<Endpoint>,
     credentials: RefCell<Rc<Credentials>>,
+    /// Directory of keys and certificates.
     keys: PathBuf,
     leaving: watch::Sender<bool>,
     last_attempt: Cell<u64>,
     /// Open links, whose traffic is part of the metrics.
     links: RefCell<Vec<Link>>,
+    /// Bytes of closed links.
     closed_traffic: Cell<Traffic>,
 }
 
@@ -209,7 +211,7 @@
             }
         });
         actix_rt::spawn(clock::watch());
-        actix_rt::spawn(lateness::monitor(self.metrics.clone()));
+        actix_rt::spawn(thread_delay::monitor(self.metrics.clone()));
         actix_rt::spawn(self.metrics.clone().serve(listener));
         Ok(address)
     }
