--- a/crates/gingerpier_daemon/src/entry/operators.rs
+++ b/crates/gingerpier_daemon/src/entry/operators.rs
@@ -109,7 +109,7 @@
             .process
             .catalogue_state
             .catalogue()
-            .try_commands(commands)
+            .preview_commands(commands)
         {
             Ok(next) => StatementResponse::WouldAccept {
                 revision: next.revision().0,
