--- a/crates/gingerpier_services/src/box_list.rs
+++ b/crates/gingerpier_services/src/box_list.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's list of alive and leaving boxes, which may be out of date.
 
 use {
-    crate::{error::Error, error::Step, http::Call},
+    crate::{error::Error, error::Step, http::CallContext},
     awc::Client as Http,
     gingerpier_base::{Instant, Name},
     serde::{Deserialize, Serialize},
@@ -41,14 +41,14 @@
 pub async fn read(
     http: &Http,
     url: &str,
-    patience: Duration,
+    timeout: Duration,
     now: Instant,
 ) -> Result<Listed, Error> {
-    let call = Call {
+    let call = CallContext {
         step: Step::ReadBoxList,
         url,
         now,
-        patience,
+        timeout,
     };
     let mut response = call.answer(http.get(url).send()).await?;
     call.json(&mut response).await
--- a/crates/gingerpier_services/src/engine.rs
+++ b/crates/gingerpier_services/src/engine.rs
@@ -4,7 +4,7 @@
     crate::{
         error::{Error, Fault, Step},
         exchange::{self, Answer},
-        http::Call,
+        http::CallContext,
     },
     awc::Client as Http,
     bytes::Bytes,
@@ -102,22 +102,22 @@
     http: Http,
     exchange: exchange::Client,
     url: String,
-    patience: Duration,
+    timeout: Duration,
 }
 
 impl Client {
-    /// Client of the engine at `url`; `patience` is the timeout of status calls and orders.
+    /// Client of the engine at `url`; `timeout` applies to status calls and orders.
     pub const fn new(
         http: Http,
         exchange: exchange::Client,
         url: String,
-        patience: Duration,
+        timeout: Duration,
     ) -> Self {
         Self {
             http,
             exchange,
             url,
-            patience,
+            timeout,
         }
     }
 
@@ -133,11 +133,11 @@
     /// Returns an error if the engine does not respond.
     pub async fn status(&self, now: Instant) -> Result<Status, Error> {
         let url = format!("{}/status", self.url);
-        let call = Call {
+        let call = CallContext {
             step: Step::AskEngine,
             url: &url,
             now,
-            patience: self.patience,
+            timeout: self.timeout,
         };
         let mut response = call.answer(self.http.get(&url).send()).await?;
         call.json(&mut response).await
@@ -150,11 +150,11 @@
     /// Returns an error if the engine refuses the order or does not respond.
     pub async fn order(&self, order: &Order, now: Instant) -> Result<(), Error> {
         let url = format!("{}/orders", self.url);
-        let call = Call {
+        let call = CallContext {
             step: Step::OrderEngine,
             url: &url,
             now,
-            patience: self.patience,
+            timeout: self.timeout,
         };
         let mut response = call.answer(self.http.post(&url).send_json(order)).await?;
         call.body(&mut response).await?;
@@ -175,11 +175,11 @@
         now: Instant,
     ) -> Result<(), Error> {
         let url = format!("{}/weights/{weights}/{index}?fence={fence}", self.url);
-        let call = Call {
+        let call = CallContext {
             step: Step::GiveWeights,
             url: &url,
             now,
-            patience: self.patience,
+            timeout: self.timeout,
         };
         let mut response = call.answer(self.http.put(&url).send_body(chunk)).await?;
         call.body(&mut response).await?;
@@ -190,9 +190,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if no response head arrives within `patience`; [`Error::had_no_effect`] tells whether the
+    /// Returns an error if no response head arrives within `timeout`; [`Error::had_no_effect`] tells whether the
     /// request may have run.
-    pub async fn run(&self, run: Run, patience: Duration) -> Result<Answer, Error> {
+    pub async fn run(&self, run: Run, timeout: Duration) -> Result<Answer, Error> {
         let url = format!("{}{}", self.url, run.path);
         let mut request = Request::builder().method(run.method).uri(&url);
         for (name, value) in run.headers {
@@ -205,7 +205,7 @@
         let request = request.body(Full::new(run.body));
         let request = request.map_err(|error| run_error(Fault::Refused(error.to_string())))?;
         self.exchange
-            .send(request, patience)
+            .send(request, timeout)
             .await
             .map_err(run_error)
     }
@@ -217,11 +217,11 @@
     /// Returns an error if the engine does not respond.
     pub async fn cancel(&self, attempt: &str, now: Instant) -> Result<(), Error> {
         let url = format!("{}/attempts/{attempt}", self.url);
-        let call = Call {
+        let call = CallContext {
             step: Step::Run,
             url: &url,
             now,
-            patience: self.patience,
+            timeout: self.timeout,
         };
         call.answer(self.http.delete(&url).send()).await.map(|_| ())
     }
--- a/crates/gingerpier_services/src/exchange.rs
+++ b/crates/gingerpier_services/src/exchange.rs
@@ -64,7 +64,7 @@
 }
 
 impl Client {
-    /// Sends a request and waits for the response head for at most `patience`.
+    /// Sends a request and waits for the response head for at most `timeout`.
     ///
     /// # Errors
     ///
@@ -72,9 +72,9 @@
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Answer, Fault> {
-        match actix_rt::time::timeout(patience, self.inner.request(request)).await {
+        match actix_rt::time::timeout(timeout, self.inner.request(request)).await {
             Ok(Ok(response)) => {
                 let (head, body) = response.into_parts();
                 Ok(Answer {
--- a/crates/gingerpier_services/src/http.rs
+++ b/crates/gingerpier_services/src/http.rs
@@ -41,7 +41,7 @@
 
 /// Context of one call to a service, for timeouts and errors.
 #[derive(Debug, Clone, Copy)]
-pub struct Call<'a> {
+pub struct CallContext<'a> {
     /// Operation that the call is part of.
     pub step: Step,
     /// URL of the request.
@@ -49,10 +49,10 @@
     /// Time at which the call starts.
     pub now: Instant,
     /// Timeout of the response head, and of each part of the body.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
-impl Call<'_> {
+impl CallContext<'_> {
     /// Creates an error of this call.
     pub fn error(&self, fault: Fault) -> Error {
         Error::new(self.step, self.url, fault)
@@ -95,7 +95,7 @@
     where
         F: Future<Output = Result<ClientResponse, SendRequestError>>,
     {
-        match timeout(self.patience, sending).await {
+        match timeout(self.timeout, sending).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(SendRequestError::Connect(_))) => Err(self.error(Fault::Unreachable)),
             Ok(Err(error)) => Err(self.error(Fault::Unanswered(error.to_string()))),
@@ -109,7 +109,7 @@
     ///
     /// Returns an error if the connection is lost or no data arrives within the timeout.
     pub async fn part(&self, response: &mut ClientResponse) -> Result<Option<Bytes>, Error> {
-        match timeout(self.patience, response.next()).await {
+        match timeout(self.timeout, response.next()).await {
             Ok(None) => Ok(None),
             Ok(Some(Ok(part))) => Ok(Some(part)),
             Ok(Some(Err(error))) => Err(self.error(Fault::Unanswered(error.to_string()))),
--- a/crates/gingerpier_services/src/key_value.rs
+++ b/crates/gingerpier_services/src/key_value.rs
@@ -6,7 +6,7 @@
 use {
     crate::{
         error::{Error, Fault, Step},
-        http::Call,
+        http::CallContext,
     },
     awc::{Client as Http, ClientResponse},
     base64::{Engine, prelude::BASE64_STANDARD},
@@ -128,7 +128,7 @@
 pub struct Client {
     http: Http,
     url: String,
-    patience: Duration,
+    timeout: Duration,
 }
 
 #[derive(Deserialize)]
@@ -170,13 +170,9 @@
 }
 
 impl Client {
-    /// Client of the service at `url`; `patience` is the timeout of a call.
-    pub const fn new(http: Http, url: String, patience: Duration) -> Self {
-        Self {
-            http,
-            url,
-            patience,
-        }
+    /// Client of the service at `url`; `timeout` applies to a call.
+    pub const fn new(http: Http, url: String, timeout: Duration) -> Self {
+        Self { http, url, timeout }
     }
 
     /// URL of the service.
@@ -184,16 +180,20 @@
         &self.url
     }
 
-    const fn call<'a>(&self, step: Step, url: &'a str, now: Instant) -> Call<'a> {
-        Call {
+    const fn call<'a>(&self, step: Step, url: &'a str, now: Instant) -> CallContext<'a> {
+        CallContext {
             step,
             url,
             now,
-            patience: self.patience,
+            timeout: self.timeout,
         }
     }
 
-    async fn post(&self, call: Call<'_>, body: &impl Serialize) -> Result<ClientResponse, Error> {
+    async fn post(
+        &self,
+        call: CallContext<'_>,
+        body: &impl Serialize,
+    ) -> Result<ClientResponse, Error> {
         call.answer(self.http.post(call.url).send_json(body)).await
     }
 
@@ -348,17 +348,17 @@
 }
 
 impl Watch {
-    /// Waits for the next change for at most `patience`; returns false on timeout.
+    /// Waits for the next change for at most `timeout`; returns false on timeout.
     ///
     /// # Errors
     ///
     /// Returns an error if the connection is lost.
-    pub async fn changed(&mut self, patience: Duration, now: Instant) -> Result<bool, Error> {
-        let call = Call {
+    pub async fn changed(&mut self, timeout: Duration, now: Instant) -> Result<bool, Error> {
+        let call = CallContext {
             step: Step::Watch,
             url: &self.url,
             now,
-            patience,
+            timeout,
         };
         loop {
             if let Some(end) = self.unparsed.iter().position(|byte| *byte == b'\n') {
--- a/crates/gingerpier_services/src/weight_source.rs
+++ b/crates/gingerpier_services/src/weight_source.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         error::{Error, Fault, Step},
-        http::Call,
+        http::CallContext,
     },
     awc::{
         Client as Http,
@@ -22,17 +22,13 @@
 pub struct Client {
     http: Http,
     url: String,
-    patience: Duration,
+    timeout: Duration,
 }
 
 impl Client {
-    /// Client of the source at `url`; `patience` is the timeout of each part of a response.
-    pub const fn new(http: Http, url: String, patience: Duration) -> Self {
-        Self {
-            http,
-            url,
-            patience,
-        }
+    /// Client of the source at `url`; `timeout` applies to each part of a response.
+    pub const fn new(http: Http, url: String, timeout: Duration) -> Self {
+        Self { http, url, timeout }
     }
 
     /// Fetches and verifies the manifest in `folder`; returns its bytes as well, for peers.
@@ -47,11 +43,11 @@
         now: Instant,
     ) -> Result<(Manifest, Bytes), Error> {
         let url = format!("{}/{folder}/{}", self.url, manifest::FILE_NAME);
-        let call = Call {
+        let call = CallContext {
             step: Step::ReadManifest,
             url: &url,
             now,
-            patience: self.patience,
+            timeout: self.timeout,
         };
         let mut response = call.answer(self.http.get(&url).send()).await?;
         let bytes = call.body(&mut response).await?;
@@ -77,11 +73,11 @@
         F: AsyncFnMut(Bytes),
     {
         let url = format!("{}/{folder}/{}", self.url, file.path);
-        let call = Call {
+        let call = CallContext {
             step: Step::ReadWeights,
             url: &url,
             now,
-            patience: self.patience,
+            timeout: self.timeout,
         };
         let last = span.offset + span.length - 1;
         let request = self.http.get(&url);
