--- a/crates/gingerpier_daemon/src/entry/links.rs
+++ b/crates/gingerpier_daemon/src/entry/links.rs
@@ -220,7 +220,7 @@
             other => Err(Error::new(
                 Step::Receive,
                 &peer,
-                format!("expected Hello, received {other:?}"),
+                format!("{other:?} for a greeting"),
             )),
         }
     }
