--- a/crates/gingerpier_gateway/src/loader/report.rs
+++ b/crates/gingerpier_gateway/src/loader/report.rs
@@ -139,7 +139,7 @@
         .as_ref()
         .and_then(|last| last.start_time);
     if last.is_some() && report.start_time.is_some() && last != report.start_time {
-        tracing::info!(born = ?report.start_time, ?last, "engine restarted");
+        tracing::info!(born = ?report.start_time, ?last, "engine has started again");
         loader.reset_backlog();
     }
 }
