--- a/crates/gingerpier_catalogue/src/proposal.rs
+++ b/crates/gingerpier_catalogue/src/proposal.rs
@@ -53,7 +53,7 @@
     Rejected,
     /// Final: the key-value service is unavailable; nothing was written.
     Unavailable,
-    /// Final: a write was written_head, and it is unknown whether it took effect.
+    /// Final: a write was sent, and it is unknown whether it took effect.
     Unknown,
 }
 
--- a/crates/gingerpier_fleet/src/child.rs
+++ b/crates/gingerpier_fleet/src/child.rs
@@ -27,7 +27,7 @@
     ended: Option<ExitStatus>,
 }
 
-/// Folder with the binary_folder of the current build.
+/// Folder with the binaries of the current build.
 fn binary_folder() -> PathBuf {
     let mut folder = env::current_exe().unwrap_or_default();
     folder.pop();
--- a/crates/gingerpier_link/src/credentials.rs
+++ b/crates/gingerpier_link/src/credentials.rs
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Reads the keys again if a file has modified_at since.
+    /// Reads the keys again if a file has changed since the last read.
     ///
     /// # Errors
     ///
--- a/crates/gingerpier_serving/tests/zones.rs
+++ b/crates/gingerpier_serving/tests/zones.rs
@@ -17,7 +17,7 @@
 const EXPECTED_DIGESTS: usize = 2 * DIGEST_SENDERS;
 /// Milliseconds for which fates are kept; longer than [`ZONE_TIMEOUT_MILLIS`] and two delays.
 const FATE_RETENTION_MILLIS: u64 = 3_000;
-/// Percentage of lost packets up to which at least one of three checks finds at max_packets one silent
+/// Percentage of lost packets up to which at least one of three checks finds at most one silent
 /// pair; with more loss, chance alone exceeds that.
 const MODERATE_LOSS_PERCENT: u64 = 15;
 
